--- a/wasabidrum/decisions/chunk_eviction.py
+++ b/wasabidrum/decisions/chunk_eviction.py
@@ -1,11 +1,11 @@
-"""Which chunk a sidecar gives up when its memory for weights is full.
-
-Load pattern: a version is larger than what a sidecar may hold, and replaced instances ask
-for it hours after the burst. If everyone kept what came last, the region would hold some
-chunks many times and others nowhere, and a late joiner would go to the origin. So a chunk
-of no current version goes first, then one already passed on to all who wait for it, and
-among those the one for which this sidecar ranks lowest: the region's memories together
-keep the whole version.
+"""Which chunk a sidecar evicts when its memory for weights is full.
+
+Load pattern: a version is larger than a sidecar's memory for chunks, and replaced instances ask
+for it hours after the burst. If each sidecar kept the chunks that came last, a region would hold
+some chunks many times and others not at all, and a late instance would go to the origin. So chunks
+of no current version are evicted first, then those already sent to all children in the plan's
+tree, and among these the chunk for which this sidecar ranks lowest. Together the memories of a
+region then keep the whole version.
 """
 
 import collections.abc
@@ -18,8 +18,8 @@
 
     Attributes:
       rank: This sidecar's place in the chunk's rendezvous order within its region.
-      wanted: Whether a version that is in force or wanted has it.
-      serves_left: How many children in the plan's tree have not fetched it yet.
+      wanted: Whether it belongs to a version that is in force or wanted.
+      pending_children: How many children in the plan's tree have not fetched it yet.
     """
 
     digest: str
@@ -30,7 +30,7 @@
 
 
 def choose_victim(chunks: collections.abc.Iterable[HeldChunk]) -> HeldChunk:
-    """Returns the chunk to give up first."""
+    """Returns the chunk to evict first."""
     return max(
         chunks,
         key=lambda held: (not held.wanted, held.serves_left <= 0, held.rank, held.digest),
--- a/wasabidrum/decisions/chunk_evidence_test.py
+++ b/wasabidrum/decisions/chunk_evidence_test.py
@@ -1,24 +1,24 @@
-"""Tests of what speaks against a peer that is silent, and of what excuses it."""
+"""Tests of backoff for slow and failing peers, and of failures blamed on the own link."""
 
 import unittest
 
 from .chunk_evidence import (
-    MOST_EXCUSES,
-    PATIENT_AFTER_SILENCES,
+    MAX_DISCARDED_FAILURES,
     SLOW_PAUSE_SECONDS,
+    WAIT_AFTER_SLOW_COUNT,
     ChunkEvidence,
 )
 
 
 class SilentPeerTest(unittest.TestCase):
-    """One peer that does not answer."""
+    """One peer that is slow to answer, or sends corrupt bytes."""
 
     def setUp(self) -> None:
         self.evidence = ChunkEvidence()
 
-    def test_all_who_wait_at_a_silent_peer_go_elsewhere(self) -> None:
-        """Several chunks are waited for at a sidecar that is suspended. One of them finds that
-        out; the others would each wait until they have found it out as well."""
+    def test_all_requests_waiting_at_a_silent_peer_go_elsewhere(self) -> None:
+        """Several chunks are requested from a suspended sidecar, and one request detects that it
+        is silent. The others must not each wait until they have detected it themselves."""
         self.evidence.begin_ask("peer", 0.0)
         self.evidence.record_slow("peer", 1.0)
         self.assertTrue(self.evidence.silent("peer", 1.1))
@@ -27,25 +27,24 @@
         self.evidence.record_answer("peer", True)
         self.assertFalse(self.evidence.avoided("peer", 1.2 + SLOW_PAUSE_SECONDS))
 
-    def test_one_that_is_always_silent_is_waited_for_at_last(self) -> None:
-        """The only holder of a chunk stands behind a link that is slow for good, and the origin
-        is away. If every request to it were given up after a second, nobody would ever have
-        the chunk."""
+    def test_peer_that_is_always_slow_is_waited_for_in_the_end(self) -> None:
+        """The only holder of a chunk is behind a permanently slow link, and the origin is gone.
+        If every request to it were aborted after a second, nobody would ever get the chunk."""
         now = 0.0
-        for _ in range(PATIENT_AFTER_SILENCES):
+        for _ in range(WAIT_AFTER_SLOW_COUNT):
             self.assertFalse(self.evidence.deserves_patience("peer"))
             self.evidence.begin_ask("peer", now)
             self.evidence.record_slow("peer", now + 1.0)
-            # The other requests that waited there say the same, and count once.
+            # Other requests that waited at the same peer report it too; they count once.
             self.evidence.record_slow("peer", now + 1.0)
             now += 10.0
         self.assertTrue(self.evidence.deserves_patience("peer"))
 
-    def test_what_the_own_link_may_have_done_is_excused_for_a_while(self) -> None:
-        """A sidecar's own link is narrow, and every request of its own fails. Held against the
-        peers, these would be passed over for a minute after the link is well again; excused for
-        ever, one that is left alone would never turn to the origin."""
-        for _ in range(MOST_EXCUSES):
+    def test_failures_of_the_own_link_are_discarded_for_a_limited_time(self) -> None:
+        """A sidecar's own link is narrow, and all its requests fail. Counted against the peers,
+        they would be skipped for a minute after the link has recovered; discarded for ever, a
+        sidecar that is cut off would never turn to the origin."""
+        for _ in range(MAX_DISCARDED_FAILURES):
             self.evidence.record_slow("peer", 0.0)
             self.assertTrue(self.evidence.excuse("peer"))
             self.assertFalse(self.evidence.avoided("peer", 0.1))
@@ -53,7 +52,7 @@
         self.evidence.record_answer("peer", False)
         self.assertTrue(self.evidence.excuse("peer"))
 
-    def test_wrong_bytes_are_never_excused(self) -> None:
+    def test_corrupt_bytes_are_never_discarded(self) -> None:
         self.evidence.record_failure("peer", 0.0, corrupt=True)
         self.assertFalse(self.evidence.excuse("peer"))
         self.assertTrue(self.evidence.avoided("peer", 1.0))
--- a/wasabidrum/decisions/chunk_plan.py
+++ b/wasabidrum/decisions/chunk_plan.py
@@ -1,134 +1,148 @@
-"""Who fetches each chunk of a version from whom, computed alike by every sidecar.
+"""The distribution plan of a version: which instance gets each chunk from which other.
 
-Load pattern: a new version is wanted by hundreds of instances within minutes, while the
-origin's link carries about four copies, an instance's link about two and the link of a
-region less than that. Without a plan every instance asks the origin; with a coordinator
-the burst hangs on one process. Here each sidecar computes the same plan from what the
-configuration publishes (names, regions, the version's root) and needs no message for it.
+Load pattern: hundreds of instances want a new version within minutes, while the origin's link
+carries about four copies, an instance's link about two and the link of a region less than that.
+Without a plan every instance asks the origin; with a coordinator the burst depends on one
+process. Here each sidecar computes the same plan from what the configuration publishes (names,
+regions, the version's root), without exchanging messages.
 
 Inside a region a chunk travels along a binary tree, so that an instance sends about one copy in
-all; the inner places are dealt out evenly, because the busiest uplink sets the time of the whole.
-A region with relays has these bring chunks in and give them to every instance (RELAY_CHILDREN):
-a relay has a far wider link than an instance beside an engine, so that nobody's uplink is left
-to set the time. The tree remains for those that a relay does not serve, and for all once relays
-are gone.
+total. The inner nodes of the trees are spread evenly over the instances, because the busiest
+uplink determines how long the whole transfer takes.
+
+In a region with relays, the relays bring chunks in and send them to the instances (RELAY_FANOUT
+each). A relay has a far wider link than an instance beside an engine, so that no instance's
+uplink determines the time. The tree is used by the instances that no relay serves, and by all
+instances once the relays are gone.
 """
 
 import collections.abc
 import hashlib
 
 CARRIERS_PER_REGION = 4
-CHILDREN = 2
-# How many instances a relay gives a chunk to, before these pass it on along the tree.
-RELAY_CHILDREN = 8
+TREE_FANOUT = 2
+# How many instances a relay sends a chunk to; the others get it along the tree.
+RELAY_FANOUT = 8
 SCORE_BYTES = 8
 
 
-def score(subject: str, name: str) -> bytes:
-    """Returns the rendezvous score of a name for a subject; the lowest ranks first."""
+def rendezvous_score(subject: str, name: str) -> bytes:
+    """Returns the rendezvous hash of a name for a subject; the lowest ranks first."""
     return hashlib.blake2b(f"{subject}/{name}".encode(), digest_size=SCORE_BYTES).digest()
 
 
 def rank_names(subject: str, names: collections.abc.Iterable[str]) -> list[str]:
     """Returns names in their rendezvous order for a subject.
 
-    A name that comes or goes moves no other past another, so sidecars whose lists differ
-    a little still agree on nearly everything.
+    Adding or removing a name does not reorder the others, so sidecars whose lists differ a
+    little still agree on nearly everything.
     """
-    return sorted(names, key=lambda name: (score(subject, name), name))
+    return sorted(names, key=lambda name: (rendezvous_score(subject, name), name))
 
 
 class RegionPlan:
-    """The order of one region's instances for each chunk, worked out as far as asked."""
+    """The order of one region's instances for each chunk, computed lazily.
+
+    Carriers are the instances that bring chunks into the region, taking turns by chunk.
+    """
 
-    __slots__ = ("_names", "_relays", "_heads", "_others", "_duties", "_rows", "_chunks", "_turns")
+    __slots__ = (
+        "_names",
+        "_relays",
+        "_tree_heads",
+        "_non_carriers",
+        "_inner_counts",
+        "_orders",
+        "_chunks",
+        "_region_count",
+    )
 
     def __init__(
         self,
         root: str,
         names: collections.abc.Iterable[str],
         chunks: tuple[str, ...],
-        turns: int,
+        region_count: int,
         relays: collections.abc.Iterable[str] = (),
     ) -> None:
         self._names = tuple(rank_names(root, names))
         self._relays = tuple(rank_names(root, relays))
-        self._heads = self._names[:CARRIERS_PER_REGION]
-        self._others = self._names[CARRIERS_PER_REGION:]
-        self._duties = dict.fromkeys(self._others, 0)
-        self._rows: list[tuple[str, ...]] = []
+        self._tree_heads = self._names[:CARRIERS_PER_REGION]
+        self._non_carriers = self._names[CARRIERS_PER_REGION:]
+        self._inner_counts = dict.fromkeys(self._non_carriers, 0)
+        self._orders: list[tuple[str, ...]] = []
         self._chunks = chunks
-        self._turns = turns
+        self._region_count = region_count
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Every instance of the region that wants the version."""
+        """All instances of the region that want the version, in rendezvous order."""
         return self._names
 
     @property
     def carriers(self) -> tuple[str, ...]:
         """The instances that bring chunks into the region."""
-        return self._relays[:CARRIERS_PER_REGION] or self._heads
+        return self._relays[:CARRIERS_PER_REGION] or self._tree_heads
 
     @property
     def relays(self) -> tuple[str, ...]:
-        """The relays of the region, which hold chunks for its instances."""
+        """The region's relays, which hold chunks for its instances."""
         return self._relays
 
     def order(self, index: int) -> tuple[str, ...]:
-        """Returns the order for a chunk: who brings it in, then the tree's places by level."""
-        while len(self._rows) <= index:
-            self._rows.append(self._make_row(len(self._rows)))
-        return self._rows[index]
+        """Returns a chunk's order: who brings it into the region, then the tree by level."""
+        while len(self._orders) <= index:
+            self._orders.append(self._make_order(len(self._orders)))
+        return self._orders[index]
 
     def carrier(self, index: int) -> str:
-        """Returns who brings a chunk into the region while all is well."""
+        """Returns which carrier brings a chunk into the region when there are no faults."""
         carriers = self.carriers
-        return carriers[(index // self._turns) % len(carriers)]
+        return carriers[(index // self._region_count) % len(carriers)]
 
-    def _make_row(self, index: int) -> tuple[str, ...]:
+    def _make_order(self, index: int) -> tuple[str, ...]:
         carriers = self._relays[:CARRIERS_PER_REGION]
-        spare = self._relays[CARRIERS_PER_REGION:]
-        return self._turn(carriers, index) + spare + self._make_tree(index)
+        other_relays = self._relays[CARRIERS_PER_REGION:]
+        return self._rotate(carriers, index) + other_relays + self._make_tree(index)
 
-    def _turn(self, names: tuple[str, ...], index: int) -> tuple[str, ...]:
-        """Returns carriers with the one first whose turn a chunk is.
+    def _rotate(self, names: tuple[str, ...], index: int) -> tuple[str, ...]:
+        """Returns the carriers, rotated so that the one whose turn it is comes first.
 
-        The turn advances once per round of regions, so that each pair of region order and
+        The rotation advances once per round of regions, so that each pair of region order and
         carrier comes up equally often.
         """
         if not names:
             return ()
-        first = (index // self._turns) % len(names)
+        first = (index // self._region_count) % len(names)
         return names[first:] + names[:first]
 
     def _make_tree(self, index: int) -> tuple[str, ...]:
-        ring = self._turn(self._heads, index)
-        # Two carriers stand at the top, so that the next in line is a carrier as well;
-        # the other two come last, as leaves. Over all chunks each carrier sends a copy.
-        top, last = ring[:CHILDREN], ring[CHILDREN:]
-        ranked = rank_names(self._chunks[index], self._others)
-        inner = self._choose_inner(ranked, index)
-        chosen = set(inner)
-        leaves = tuple(name for name in ranked if name not in chosen)
+        ring = self._rotate(self._tree_heads, index)
+        # Two carriers are at the top, so that the first to take over is a carrier as well;
+        # the other two come last, as leaves. Over all chunks each carrier sends one copy.
+        top, last = ring[:TREE_FANOUT], ring[TREE_FANOUT:]
+        ranked = rank_names(self._chunks[index], self._non_carriers)
+        inner = self._choose_inner_nodes(ranked, index)
+        inner_names = set(inner)
+        leaves = tuple(name for name in ranked if name not in inner_names)
         return top + inner + leaves + last
 
-    def _choose_inner(self, ranked: list[str], index: int) -> tuple[str, ...]:
-        places = max(0, len(self._names) // CHILDREN - CHILDREN)
-        if not places:
+    def _choose_inner_nodes(self, ranked: list[str], index: int) -> tuple[str, ...]:
+        inner_count = max(0, len(self._names) // TREE_FANOUT - TREE_FANOUT)
+        if not inner_count:
             return ()
-        most = -(-(index + 1) * places // len(ranked))
-        free = [name for name in ranked if self._duties[name] < most]
-        inner = tuple(free[:places])
+        max_count = -(-(index + 1) * inner_count // len(ranked))
+        available = [name for name in ranked if self._inner_counts[name] < max_count]
+        inner = tuple(available[:inner_count])
         for name in inner:
-            self._duties[name] += 1
+            self._inner_counts[name] += 1
         return inner
 
 
 class ChunkPlan:
-    """The plan of one version: an order of regions and, in each, of instances, per chunk."""
+    """The plan of one version: for each chunk, an order of regions and of instances in each."""
 
-    __slots__ = ("_regions", "_names", "_origin_region", "_index_of", "_chunk_count")
+    __slots__ = ("_regions", "_ranked_regions", "_origin_region", "_index_of", "_chunk_count")
 
     def __init__(
         self,
@@ -138,18 +152,24 @@
         origin_region: str = "",
         relays: collections.abc.Mapping[str, str] | None = None,
     ) -> None:
-        """Takes the regions of all instances that want the version, and of relays, by name."""
+        """Creates a plan.
+
+        Args:
+          region_of: The region of each instance that wants the version, by name.
+          origin_region: The origin's region, or empty where it is unknown.
+          relays: The region of each relay, by name.
+        """
         by_region: dict[str, list[str]] = {}
         for name, region in region_of.items():
             by_region.setdefault(region, []).append(name)
-        self._names = tuple(rank_names(root, by_region))
+        self._ranked_regions = tuple(rank_names(root, by_region))
         self._origin_region = origin_region if origin_region in by_region else ""
-        turns = len(self._names)
-        relays_in: dict[str, list[str]] = {}
+        region_count = len(self._ranked_regions)
+        relays_by_region: dict[str, list[str]] = {}
         for name, region in (relays or {}).items():
-            relays_in.setdefault(region, []).append(name)
+            relays_by_region.setdefault(region, []).append(name)
         self._regions = {
-            region: RegionPlan(root, names, chunks, turns, relays_in.get(region, ()))
+            region: RegionPlan(root, names, chunks, region_count, relays_by_region.get(region, ()))
             for region, names in by_region.items()
         }
         self._chunk_count = len(chunks)
@@ -157,27 +177,27 @@
 
     @property
     def regions(self) -> collections.abc.Mapping[str, RegionPlan]:
-        """The plan within each region."""
+        """The plan within each region, by region."""
         return self._regions
 
     @property
     def chunk_count(self) -> int:
-        """How many chunks the version has."""
+        """The number of chunks of the version."""
         return self._chunk_count
 
     def index_of(self, digest: str) -> int:
-        """Returns the place of a chunk in the version."""
+        """Returns the index of a chunk in the version."""
         return self._index_of[digest]
 
     def region_order(self, index: int) -> tuple[str, ...]:
-        """Returns the chain of regions for a chunk: the first draws it from the origin.
+        """Returns the chain of regions for a chunk: the first fetches it from the origin.
 
-        Where the files say in which region the origin stands, that region draws every
-        chunk, for a draw from elsewhere would cross the thin link; otherwise regions take
-        turns. Each next region takes the chunk from the one before it.
+        If the configuration tells the origin's region, that region fetches every chunk, because
+        a fetch from elsewhere would cross the thin link between regions. Otherwise regions take
+        turns. Each further region gets the chunk from the one before it.
         """
-        first = index % len(self._names)
-        ring = self._names[first:] + self._names[:first]
+        first = index % len(self._ranked_regions)
+        ring = self._ranked_regions[first:] + self._ranked_regions[:first]
         if not self._origin_region:
             return ring
         return (self._origin_region, *(name for name in ring if name != self._origin_region))
--- a/wasabidrum/decisions/chunk_route.py
+++ b/wasabidrum/decisions/chunk_route.py
@@ -1,30 +1,33 @@
-"""The next step of one sidecar towards one chunk: ask a peer, probe peers, or draw.
-
-Load pattern: the plan names a parent for each chunk, and at any moment some parents are
-dead, slow, lying or not listed. Without repair the whole subtree behind them would wait;
-with a repair that runs to the origin at once, a death would cost a copy for each child.
-So those who cannot be used are left out and the places of the tree move up. A sidecar asks
-only instances ahead of it in the common order (regions first, then places), whatever its
-own evidence: a circle of sidecars that wait for each other therefore cannot arise. Who has
-nobody left ahead of it brings the chunk in: it probes whoever may hold it already, and
-only then draws from the origin, later the further back the plan had placed it.
+"""Chooses where a sidecar gets one chunk from next: a relay, another peer, or the origin.
+
+Load pattern: the plan names a parent for each chunk, and at any moment some parents are dead,
+slow, sending corrupt bytes, or missing from the platform's list. If a sidecar waited for such a
+parent, the whole subtree behind it would wait; if it went to the origin at once, each dead parent
+would cost the origin one copy for each of its children. So unusable instances are skipped, and
+those behind them move up in the tree.
+
+A sidecar asks only instances that are ahead of it in the common order (regions first, then places
+within a region), whatever it has observed itself, so that sidecars cannot wait for each other in
+a cycle. A sidecar with no usable instance ahead of it brings the chunk into the region: it first
+probes the peers that may already hold the chunk, and only then fetches it from the origin, after
+a delay that grows with its distance from the front of the order.
 """
 
 import collections.abc
 import dataclasses
 import enum
 
-from .chunk_plan import CHILDREN, RELAY_CHILDREN, ChunkPlan, rank_names, score
+from .chunk_plan import RELAY_FANOUT, TREE_FANOUT, ChunkPlan, rank_names, rendezvous_score
 
-SECONDS_PER_PLACE = 0.25
-SECONDS_PER_REGION = 0.5
+DELAY_PER_PLACE_SECONDS = 0.25
+DELAY_PER_REGION_SECONDS = 0.5
 LONGEST_DELAY_SECONDS = 3.0
-FIRST_PROBES = 4
-PROBES_AT_ONCE = 8
+FIRST_ROUND_PROBES = 4
+PROBES_PER_ROUND = 8
 
 
 class StepKind(enum.Enum):
-    """What to do next."""
+    """Where to get the chunk from."""
 
     ASK = "ask"
     DRAW = "draw"
@@ -32,11 +35,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One step.
+    """The next step towards a chunk.
 
     Attributes:
-      peer: Whom to ask, where the step is to ask.
-      delay: Seconds to wait before a draw, zero for the one whom the plan named.
+      peer: The peer to ask; empty for a fetch from the origin.
+      delay: Seconds to wait before a fetch from the origin; zero for the instance that the plan
+        names to fetch the chunk.
     """
 
     kind: StepKind
@@ -46,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asker:
-    """Who asks, and whether the others can know of it.
+    """The sidecar that needs a chunk.
 
     Attributes:
-      listed: False while the platform's list lacks this instance. It then stands last
-        everywhere, because nobody would come to it for what it drew.
+      listed: False while the platform's list lacks this instance. It is then last in every order:
+        peers don't know it, so that none would ask it for what it fetched from the origin.
     """
 
     name: str
@@ -61,33 +65,33 @@
 Usable = collections.abc.Callable[[str], bool]
 
 
-def order_for(plan: ChunkPlan, asker: Asker, index: int) -> list[str]:
-    """Returns the order of the asker's own region for a chunk, the asker in its place."""
-    region = plan.regions.get(asker.region)
+def order_with(plan: ChunkPlan, requester: Asker, index: int) -> list[str]:
+    """Returns a chunk's order in the requester's region, the requester included."""
+    region = plan.regions.get(requester.region)
     order = list(region.order(index)) if region else []
-    if not asker.listed or asker.name not in order:
-        order = [name for name in order if name != asker.name] + [asker.name]
+    if not requester.listed or requester.name not in order:
+        order = [name for name in order if name != requester.name] + [requester.name]
     return order
 
 
 def find_parent(order: list[str], name: str, usable: Usable) -> str:
-    """Returns whom an instance asks within its region, or empty where it is the first."""
+    """Returns the peer that an instance asks in its region; empty if it is the first."""
     ahead = [other for other in order[: order.index(name)] if usable(other)]
-    return ahead[(len(ahead) - 1) // CHILDREN] if ahead else ""
+    return ahead[(len(ahead) - 1) // TREE_FANOUT] if ahead else ""
 
 
-def find_relay(plan: ChunkPlan, asker: Asker, index: int, usable: Usable) -> str:
-    """Returns the relay of the asker's region that it asks for a chunk, or empty.
+def find_relay(plan: ChunkPlan, requester: Asker, index: int, usable: Usable) -> str:
+    """Returns the relay in the requester's region to ask for a chunk, or an empty string.
 
-    A relay asks those ahead of it in turn, and an instance that is far back in the order asks
-    along the tree, so that no relay sends more than its link carries.
+    Relays ask the relays ahead of them. Instances beyond the first RELAY_FANOUT after the relays
+    ask along the tree instead, so that no relay sends more than its link carries.
     """
-    region = plan.regions.get(asker.region)
+    region = plan.regions.get(requester.region)
     if region is None or not region.relays:
         return ""
-    order = order_for(plan, asker, index)
-    place = order.index(asker.name)
-    if place >= len(region.relays) + RELAY_CHILDREN:
+    order = order_with(plan, requester, index)
+    place = order.index(requester.name)
+    if place >= len(region.relays) + RELAY_FANOUT:
         return ""
     ahead = order[: min(place, len(region.relays))]
     return next((name for name in ahead if usable(name)), "")
@@ -96,88 +100,91 @@
 def find_holder(
     holders: collections.abc.Iterable[str], name: str, digest: str, usable: Usable
 ) -> str:
-    """Returns which of those who hold a version an instance asks for a chunk, or empty.
+    """Returns the holder of a version that an instance asks for a chunk, or an empty string.
 
     A dozen instances that are added together want the same chunks in the same order. Along the
-    plan's tree half of them would wait for each other, and all would ask the same few; dealt
-    out by chunk and asker, every holder's link carries its part from the first moment.
+    plan's tree half of them would wait for each other, and all would ask the same few holders.
+    Rendezvous hashing by chunk and requester spreads the load over the links of all holders.
     """
-    able = [holder for holder in holders if usable(holder)]
-    return min(able, key=lambda holder: score(f"{digest}/{name}", holder), default="")
+    usable_holders = [holder for holder in holders if usable(holder)]
+    return min(
+        usable_holders, key=lambda holder: rendezvous_score(f"{digest}/{name}", holder), default=""
+    )
 
 
-def find_step(plan: ChunkPlan, asker: Asker, index: int, usable: Usable) -> Step:
+def find_step(plan: ChunkPlan, requester: Asker, index: int, usable: Usable) -> Step:
     """Returns the next step towards a chunk.
 
     Args:
-      usable: Whether a peer is listed and nothing speaks against asking it for this chunk.
+      usable: Whether a peer is listed, not in backoff, and not known to lack this chunk.
     """
-    order = order_for(plan, asker, index)
-    parent = find_parent(order, asker.name, usable)
+    order = order_with(plan, requester, index)
+    parent = find_parent(order, requester.name, usable)
     if parent:
         return Step(StepKind.ASK, parent)
     regions = plan.region_order(index)
-    place = regions.index(asker.region) if asker.region in regions else len(regions)
+    place = regions.index(requester.region) if requester.region in regions else len(regions)
     for region in reversed(regions[:place]):
         for name in plan.regions[region].order(index):
             if usable(name):
                 return Step(StepKind.ASK, name)
-    delay = SECONDS_PER_PLACE * order.index(asker.name) + SECONDS_PER_REGION * place
-    if not asker.listed:
+    delay = DELAY_PER_PLACE_SECONDS * order.index(requester.name) + DELAY_PER_REGION_SECONDS * place
+    if not requester.listed:
         # The list lags. A process that has just started may know no peers because it has
-        # not read the list yet, and would draw what they are about to bring.
+        # not read the list yet, and would fetch what they are about to deliver.
         delay = LONGEST_DELAY_SECONDS
     return Step(StepKind.DRAW, delay=min(LONGEST_DELAY_SECONDS, delay))
 
 
 def choose_probes(
-    plan: ChunkPlan, asker: Asker, index: int, digest: str, usable: Usable, round_number: int
+    plan: ChunkPlan, requester: Asker, index: int, digest: str, usable: Usable, round_number: int
 ) -> list[str]:
-    """Returns peers that may hold a chunk already, the likeliest first.
+    """Returns the peers to probe for a chunk, the likeliest holders first.
 
-    A restarted or late instance may be the one whom the plan names while the whole region
-    holds the chunk. Those who keep it longest are the first in its rendezvous order, so
-    they are asked first; each further round asks the next ones, until all were asked.
+    A restarted or late instance may be the one that the plan names to fetch a chunk while its
+    whole region already holds it. The first instances in the chunk's rendezvous order keep it
+    longest, so they are probed first. Each further round probes the next ones, until all have
+    been probed.
     """
-    regions = [asker.region, *plan.region_order(index)]
-    keepers = {name: rank_names(digest, plan.regions[name].names) for name in plan.regions}
-    likely = list(plan.regions[asker.region].order(index)[:CHILDREN])
-    likely += keepers[asker.region][:CHILDREN]
+    regions = [requester.region, *plan.region_order(index)]
+    ranked_names = {name: rank_names(digest, plan.regions[name].names) for name in plan.regions}
+    likely = list(plan.regions[requester.region].order(index)[:TREE_FANOUT])
+    likely += ranked_names[requester.region][:TREE_FANOUT]
     likely += [plan.regions[region].order(index)[0] for region in plan.region_order(index)]
-    rest = [name for region in dict.fromkeys(regions) for name in keepers[region]]
-    candidates = [name for name in dict.fromkeys(likely + rest) if name != asker.name]
+    rest = [name for region in dict.fromkeys(regions) for name in ranked_names[region]]
+    candidates = [name for name in dict.fromkeys(likely + rest) if name != requester.name]
     candidates = [name for name in candidates if usable(name)]
     if not candidates:
         return []
     if round_number == 0:
-        return candidates[:FIRST_PROBES]
-    start = (round_number - 1) * PROBES_AT_ONCE % len(candidates)
-    return candidates[start : start + PROBES_AT_ONCE]
+        return candidates[:FIRST_ROUND_PROBES]
+    start = (round_number - 1) * PROBES_PER_ROUND % len(candidates)
+    return candidates[start : start + PROBES_PER_ROUND]
 
 
-def find_chain_step(plan: ChunkPlan, asker: Asker, usable: Usable) -> Step:
-    """Returns the step of the plain way that benches compare with.
+def find_chain_step(plan: ChunkPlan, requester: Asker, usable: Usable) -> Step:
+    """Returns the next step under the chain strategy, the baseline that benchmarks compare with.
 
-    One instance per region draws everything from the origin, and each next one asks the
-    one before it.
+    One instance per region fetches everything from the origin, and each of the others asks the
+    instance before it.
     """
-    names = plan.regions[asker.region].names
-    ahead = [name for name in names[: names.index(asker.name)] if usable(name)]
+    names = plan.regions[requester.region].names
+    ahead = [name for name in names[: names.index(requester.name)] if usable(name)]
     return Step(StepKind.ASK, ahead[-1]) if ahead else Step(StepKind.DRAW)
 
 
-def count_children(plan: ChunkPlan, asker: Asker, index: int) -> int:
-    """Returns how many peers the plan would have ask this sidecar for a chunk."""
-    order = order_for(plan, asker, index)
-    place = order.index(asker.name)
-    first = place * CHILDREN + 1
-    children = max(0, min(CHILDREN, len(order) - first))
-    last_region = plan.region_order(index)[-1] == asker.region
+def count_children(plan: ChunkPlan, requester: Asker, index: int) -> int:
+    """Returns how many peers ask this sidecar for a chunk under the plan."""
+    order = order_with(plan, requester, index)
+    place = order.index(requester.name)
+    first = place * TREE_FANOUT + 1
+    children = max(0, min(TREE_FANOUT, len(order) - first))
+    last_region = plan.region_order(index)[-1] == requester.region
     return children + (1 if place == 0 and not last_region else 0)
 
 
-def rank_to_keep(plan: ChunkPlan, asker: Asker, digest: str) -> int:
-    """Returns the asker's place among those of its region that should keep a chunk."""
-    region = plan.regions.get(asker.region)
+def rank_to_keep(plan: ChunkPlan, requester: Asker, digest: str) -> int:
+    """Returns the requester's rank among the instances of its region that should keep a chunk."""
+    region = plan.regions.get(requester.region)
     names = region.names if region else ()
-    return rank_names(digest, {*names, asker.name}).index(asker.name)
+    return rank_names(digest, {*names, requester.name}).index(requester.name)
--- a/wasabidrum/decisions/chunk_route_test.py
+++ b/wasabidrum/decisions/chunk_route_test.py
@@ -1,4 +1,4 @@
-"""Tests of the plan and of its repair, on a model without a network."""
+"""Tests of the distribution plan and of its repair, on a model without a network."""
 
 import collections
 import random
@@ -12,22 +12,32 @@
 from .chunk_eviction import HeldChunk, choose_victim
 from .chunk_evidence import ChunkEvidence
 from .chunk_pacing import LinkSchedule
-from .chunk_plan import RELAY_CHILDREN, ChunkPlan
+from .chunk_plan import RELAY_FANOUT, ChunkPlan
 from .chunk_route import Asker, StepKind, find_holder
 
 REGIONS = ("rift-a", "nbi-a", "msa-a")
 ROUND_SECONDS = 0.5
-WAITS_BEFORE_OTHERS = 4
+WAITS_BEFORE_NEXT_PEER = 4
 CALM_ROUNDS = 600
 
 
 def make_regions(count: int) -> dict[str, str]:
-    """Returns regions by instance name."""
+    """Returns the region of each instance, by name."""
     return {f"worker-{i}": REGIONS[i % len(REGIONS)] for i in range(count)}
 
 
 class FleetModel:
-    """Instances that follow the plan step by step, with deaths, losses and liars."""
+    """Instances that follow the plan step by step, with deaths, losses and corrupt peers.
+
+    Attributes:
+      plans: One per version.
+      wanted: The index of the version that all instances want now.
+      held: The chunks that each instance holds.
+      liars: The instances that send corrupt bytes.
+      waits: How often an instance has waited for a chunk at a peer that lacked it.
+      loss: The fraction of requests that fail.
+      origin_fetches: How often each chunk was fetched from the origin.
+    """
 
     def __init__(self, count: int, versions: list[tuple[str, ...]], seed: int) -> None:
         self.random = random.Random(seed)
@@ -43,10 +53,10 @@
         self.now = 0.0
         self.loss = 0.0
         self.origin_up = True
-        self.draws: dict[str, int] = {}
+        self.origin_fetches: dict[str, int] = {}
 
     def usable(self, name: str, digest: str) -> chunk_route.Usable:
-        """Returns what one instance holds against the others."""
+        """Returns which peers one instance may ask for a chunk, by its own observations."""
         evidence = self.evidence[name]
         return lambda other: (
             other != name
@@ -55,7 +65,7 @@
         )
 
     def ask(self, name: str, peer: str, digest: str, probe: bool = False) -> bool:
-        """Has one instance ask another; returns whether it has the chunk now."""
+        """Has one instance ask another for a chunk; returns whether it has the chunk now."""
         evidence = self.evidence[name]
         evidence.begin_ask(peer, self.now)
         if peer not in self.alive or self.random.random() < self.loss:
@@ -65,7 +75,7 @@
             evidence.record_answer(peer, False)
             if not probe:
                 waits = self.waits[(name, digest)] = self.waits.get((name, digest), 0) + 1
-                if digest not in self.versions[self.wanted] or waits % WAITS_BEFORE_OTHERS == 0:
+                if digest not in self.versions[self.wanted] or waits % WAITS_BEFORE_NEXT_PEER == 0:
                     evidence.record_lack(peer, digest, self.now)
             return False
         if peer in self.liars:
@@ -91,11 +101,11 @@
         )
         if any(self.ask(name, peer, digest, True) for peer in likely) or not self.origin_up:
             return
-        self.draws[digest] = self.draws.get(digest, 0) + 1
+        self.origin_fetches[digest] = self.origin_fetches.get(digest, 0) + 1
         self.held[name].add(digest)
 
     def play_round(self, number: int) -> None:
-        """Has every instance alive take a step towards everything that it lacks."""
+        """Has every live instance take a step towards each chunk that it lacks."""
         names = sorted(self.alive)
         self.random.shuffle(names)
         for name in names:
@@ -105,26 +115,26 @@
         self.now += ROUND_SECONDS
 
     def whole(self) -> bool:
-        """Returns whether everyone alive holds the version wanted."""
+        """Returns whether all live instances hold the wanted version."""
         wanted = set(self.versions[self.wanted])
         return all(wanted <= self.held[name] for name in self.alive)
 
 
 class ChunkRouteTest(unittest.TestCase):
-    """The plan is even, agreed and repaired."""
+    """The plan is balanced, the same for all instances, and repaired after failures."""
 
-    def test_one_draw_and_one_import_a_region(self) -> None:
-        """Without faults each chunk is drawn once, whatever the size of the fleet."""
+    def test_each_chunk_is_fetched_from_the_origin_once(self) -> None:
+        """Without faults this holds whatever the size of the fleet."""
         for count in (1, 2, 5, 9, 40):
             model = FleetModel(count, [tuple(f"c{i}" for i in range(12))], seed=1)
             for number in range(60):
                 model.play_round(number)
             self.assertTrue(model.whole(), count)
-            self.assertEqual(set(model.draws.values()), {1}, count)
+            self.assertEqual(set(model.origin_fetches.values()), {1}, count)
 
     def test_uplinks_carry_about_one_copy(self) -> None:
-        """The busiest uplink sets the time of the burst, so no instance may send much more
-        than others within its region."""
+        """The busiest uplink determines the duration of a burst, so no instance may send much
+        more than others within its region."""
         chunks = tuple(f"c{i}" for i in range(240))
         plan = ChunkPlan("root", chunks, make_regions(60))
         for region in REGIONS:
@@ -137,14 +147,14 @@
             self.assertLess(max(copies), 1.15)
             self.assertAlmostEqual(statistics.mean(copies), 0.95, places=1)
 
-    def test_a_carrier_gone_moves_its_place_to_a_carrier(self) -> None:
+    def test_another_carrier_takes_over_from_a_missing_one(self) -> None:
         plan = ChunkPlan("root", tuple(f"c{i}" for i in range(24)), make_regions(30))
         region = plan.regions["rift-a"]
         for index in range(24):
             self.assertEqual(region.order(index)[0], region.carrier(index))
             self.assertIn(region.order(index)[1], region.carriers)
 
-    def test_the_region_of_the_origin_draws_everything(self) -> None:
+    def test_the_region_of_the_origin_fetches_everything(self) -> None:
         plan = ChunkPlan("root", ("a", "b", "c"), make_regions(6), "nbi-a")
         self.assertEqual({plan.region_order(index)[0] for index in range(3)}, {"nbi-a"})
 
@@ -185,9 +195,9 @@
         if jointly or model.origin_up:
             self.assertTrue(model.whole())
 
-    def test_memories_of_a_region_keep_the_whole(self) -> None:
+    def test_memories_of_a_region_keep_the_whole_version(self) -> None:
         """Each sidecar's memory holds a third of a version. If all kept the latest chunks, a
-        late joiner would find the others nowhere but at the origin."""
+        late instance would find the others nowhere but at the origin."""
         chunks = [f"c{i}" for i in range(90)]
         plan = ChunkPlan("root", tuple(chunks), {f"w{i}": "rift-a" for i in range(9)})
         kept: set[str] = set()
@@ -202,8 +212,9 @@
             kept |= {chunk.digest for chunk in held}
         self.assertEqual(kept, set(chunks))
 
-    def test_a_peer_that_failed_is_tried_by_one_request(self) -> None:
-        """A stalled peer comes up for trial. Were all chunks to try it, all would stall."""
+    def test_after_the_backoff_one_request_probes_a_failed_peer(self) -> None:
+        """A stalled peer's backoff ends. If the requests for all chunks tried it, all would
+        stall."""
         evidence = ChunkEvidence()
         evidence.record_failure("peer", 0.0)
         self.assertTrue(evidence.avoided("peer", 1.0))
@@ -215,7 +226,7 @@
         evidence.record_answer("peer", True)
         self.assertFalse(evidence.avoided("peer", 8.5))
 
-    def test_chunks_follow_each_other_on_a_link(self) -> None:
+    def test_reservations_on_a_link_follow_each_other(self) -> None:
         link = LinkSchedule()
         self.assertEqual(link.reserve(1.0, 100, 100.0).start, 1.0)
         self.assertEqual(link.reserve(1.5, 100, 100.0).start, 2.0)
@@ -223,12 +234,12 @@
 
 
 class HolderTest(unittest.TestCase):
-    """Instances that are added while others hold the version."""
+    """Instances that are added while others already hold the version."""
 
-    def test_those_who_are_added_together_ask_all_holders_alike(self) -> None:
-        """A dozen engines are added under load. If all ask the same few of those that hold the
-        version, these links are full for ten seconds while the others rest, and callers are
-        refused for want of engines."""
+    def test_added_instances_spread_their_requests_over_all_holders(self) -> None:
+        """A dozen engines are added under load. If all ask the same few holders of the version,
+        the links of these are full for ten seconds while the others are idle, and callers are
+        refused for lack of engines."""
         holders = [f"old-{n}" for n in range(8)]
         asked = collections.Counter(
             find_holder(holders, f"new-{n}", f"chunk-{c}", lambda name: True)
@@ -238,7 +249,7 @@
         self.assertEqual(len(asked), 8)
         self.assertLess(max(asked.values()), 2 * 5 * 48 / 8)
 
-    def test_one_that_cannot_be_used_is_left_out(self) -> None:
+    def test_unusable_holder_is_skipped(self) -> None:
         chosen = {
             find_holder(["a", "b"], "new", f"chunk-{c}", lambda name: name != "a")
             for c in range(20)
@@ -258,21 +269,21 @@
         self.plan = ChunkPlan("root", self.chunks, self.regions, relays=self.relays)
 
     def test_every_sidecar_asks_a_relay_of_its_region(self) -> None:
-        """Sidecars that also send a copy to others wait for the busiest link among them."""
+        """Sidecars that also send a copy to others would wait for the busiest link among them."""
         for name, region in self.regions.items():
             asker = Asker(name, region)
             for index in range(len(self.chunks)):
                 asked = chunk_route.find_relay(self.plan, asker, index, lambda other: True)
                 self.assertEqual(self.relays[asked], region)
 
-    def test_relays_of_a_region_share_the_chunks(self) -> None:
+    def test_relays_of_a_region_share_the_chunks_evenly(self) -> None:
         region = next(iter(self.relays.values()))
         carriers = [self.plan.regions[region].carrier(i) for i in range(len(self.chunks))]
         counts = [carriers.count(name) for name in set(carriers)]
         self.assertEqual(len(counts), 2)
         self.assertLessEqual(max(counts) - min(counts), 3)
 
-    def test_a_dead_relay_is_passed_over_and_without_any_the_tree_is_left(self) -> None:
+    def test_dead_relay_is_skipped_and_without_relays_the_tree_is_used(self) -> None:
         name, region = next(iter(self.regions.items()))
         asker = Asker(name, region)
         near = [relay for relay, where in self.relays.items() if where == region]
@@ -284,7 +295,7 @@
         step = chunk_route.find_step(self.plan, asker, 0, lambda other: other in self.regions)
         self.assertNotIn(step.peer, self.relays)
 
-    def test_a_relay_serves_a_few_and_the_rest_ask_along_the_tree(self) -> None:
+    def test_relay_serves_a_few_instances_and_the_rest_ask_along_the_tree(self) -> None:
         """An entry with a narrow link would send a copy to each of two hundred sidecars."""
         regions = {f"w{i}": "rift-a" for i in range(40)}
         plan = ChunkPlan("root", self.chunks, regions, relays={"r0": "rift-a"})
@@ -292,4 +303,4 @@
             chunk_route.find_relay(plan, Asker(name, "rift-a"), 0, lambda other: True)
             for name in regions
         ]
-        self.assertEqual(asked.count("r0"), RELAY_CHILDREN)
+        self.assertEqual(asked.count("r0"), RELAY_FANOUT)
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -3,7 +3,12 @@
 import unittest
 
 from .endpoint_assignment import assign_endpoints
-from .forecast_bias import LEAST_SECONDS, MOST_SECONDS, ForecastBias, length_of
+from .forecast_bias import (
+    MAX_CORRECTION_SECONDS,
+    MIN_CORRECTION_SECONDS,
+    ForecastBias,
+    length_class,
+)
 from .send_rate import SendRate
 
 ENTRIES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
@@ -54,14 +59,14 @@
             bias.take(0.4, 0.6, step * 0.02)
             bias.take(0.1, 0.1, step * 0.02)
         corrections = bias.corrections(1.0)
-        self.assertAlmostEqual(corrections[length_of(0.1)], 0.0, delta=0.01)
-        self.assertGreater(corrections[length_of(0.4)], 0.1)
+        self.assertAlmostEqual(corrections[length_class(0.1)], 0.0, delta=0.01)
+        self.assertGreater(corrections[length_class(0.4)], 0.1)
 
     def test_engines_that_are_quicker_than_their_figures_are_sent_more(self) -> None:
         bias = ForecastBias()
         for step in range(50):
             bias.take(0.4, 0.28, step * 0.02)
-        self.assertLess(bias.corrections(1.0)[length_of(0.4)], -0.06)
+        self.assertLess(bias.corrections(1.0)[length_class(0.4)], -0.06)
 
     def test_a_correction_is_bounded_and_fades(self) -> None:
         """One engine stands still for a minute. An entry that took its word for all would
@@ -69,8 +74,8 @@
         bias = ForecastBias()
         for _ in range(100):
             bias.take(0.4, 60.0, 1.0)
-        self.assertLessEqual(max(bias.corrections(1.0)), MOST_SECONDS)
+        self.assertLessEqual(max(bias.corrections(1.0)), MAX_CORRECTION_SECONDS)
         self.assertLess(max(bias.corrections(9.0)), 0.01)
         for _ in range(100):
             bias.take(0.1, -5.0, 10.0)
-        self.assertGreaterEqual(min(bias.corrections(10.0)), LEAST_SECONDS)
+        self.assertGreaterEqual(min(bias.corrections(10.0)), MIN_CORRECTION_SECONDS)
--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -22,7 +22,7 @@
 from .endpoint_health import Health
 from .endpoint_load import EndpointLoad
 from .engine_forecast import first_event_seconds, run_seconds
-from .forecast_bias import Corrections, length_of
+from .forecast_bias import Corrections, length_class
 
 LATEST_FRACTION = 0.88
 OTHER_REGION_SECONDS = 0.03
@@ -136,7 +136,7 @@
     ranked = []
     for candidate in pool:
         raw = forecast(candidate, figures, demand, now)
-        seconds = raw + (demand.corrections[length_of(raw)] if demand.corrections else 0.0)
+        seconds = raw + (demand.corrections[length_class(raw)] if demand.corrections else 0.0)
         # Others fill what this entry does not send to first; it stays out while that is near.
         owed = seconds if candidate.first else seconds + OTHERS_SECONDS
         handicap = 0.0 if candidate.near else OTHER_REGION_SECONDS
--- a/wasabidrum/decisions/forecast_bias.py
+++ b/wasabidrum/decisions/forecast_bias.py
@@ -1,47 +1,48 @@
-"""By how much first events come sooner or later than forecast, lately.
-
-Load pattern: several entries fill the same engines between two reports of load, each on a guess
-of what the others send. Where the guess is low for all of them, all go on sending, every engine
-has a queue, and nearly all first events are late although each was forecast in time. Or engines
-get through a queue faster than their figures say, and callers are refused whom they could have
-served in time. What was seen corrects the next forecasts, by how long they are: what stands in a
-queue is forecast worse than what does not.
+"""Corrects forecasts of the time to the first event by the recent forecast error.
+
+Load pattern: between two load reports several entries send to the same engines, each with an
+estimate of what the others send. If that estimate is low for all of them, all go on sending, every
+engine builds a queue, and nearly all first events are late although each was forecast in time.
+Conversely, engines may work off a queue faster than their published figures say, and callers are
+refused that could have been served in time. Observed errors therefore correct the next forecasts.
+Corrections are kept by length of the forecast, because requests that wait in a queue are forecast
+less accurately than others.
 """
 
-EDGES = (0.2, 0.35)
-WEIGHT = 0.2
+LENGTH_EDGES_SECONDS = (0.2, 0.35)
+SMOOTHING_WEIGHT = 0.2
 HALF_LIFE_SECONDS = 1.0
-MOST_SECONDS = 0.3
-LEAST_SECONDS = -0.15
+MAX_CORRECTION_SECONDS = 0.3
+MIN_CORRECTION_SECONDS = -0.15
 
 Corrections = tuple[float, ...]
 
 
-def length_of(forecast: float) -> int:
-    """Returns whether a forecast is short, middling or long, as a place in corrections."""
-    return sum(forecast > edge for edge in EDGES)
+def length_class(forecast: float) -> int:
+    """Returns the length class of a forecast (short, medium or long), an index of corrections."""
+    return sum(forecast > edge for edge in LENGTH_EDGES_SECONDS)
 
 
 class ForecastBias:
-    """Corrections in seconds, by the length of a forecast."""
+    """Forecast corrections in seconds, by length class; they decay with time."""
 
-    __slots__ = ("_seconds", "_at")
+    __slots__ = ("_seconds", "_updated_at")
 
     def __init__(self) -> None:
-        self._seconds = [0.0] * (len(EDGES) + 1)
-        self._at = [0.0] * (len(EDGES) + 1)
+        self._seconds = [0.0] * (len(LENGTH_EDGES_SECONDS) + 1)
+        self._updated_at = [0.0] * (len(LENGTH_EDGES_SECONDS) + 1)
 
     def corrections(self, now: float) -> Corrections:
-        """Returns what to add to short, middling and long forecasts."""
+        """Returns the seconds to add to short, medium and long forecasts."""
         return tuple(
-            seconds * 0.5 ** ((now - at) / HALF_LIFE_SECONDS)
-            for seconds, at in zip(self._seconds, self._at, strict=True)
+            seconds * 0.5 ** ((now - updated_at) / HALF_LIFE_SECONDS)
+            for seconds, updated_at in zip(self._seconds, self._updated_at, strict=True)
         )
 
     def take(self, forecast: float, seen: float, now: float) -> None:
-        """Takes one first event, with the forecast before any correction."""
-        place = length_of(forecast)
-        before = self.corrections(now)[place]
-        after = before + WEIGHT * (seen - forecast - before)
-        self._seconds[place] = min(MOST_SECONDS, max(LEAST_SECONDS, after))
-        self._at[place] = now
+        """Records the observed time to a first event, and its forecast without correction."""
+        index = length_class(forecast)
+        before = self.corrections(now)[index]
+        after = before + SMOOTHING_WEIGHT * (seen - forecast - before)
+        self._seconds[index] = min(MAX_CORRECTION_SECONDS, max(MIN_CORRECTION_SECONDS, after))
+        self._updated_at[index] = now
--- a/wasabidrum/decisions/inbound_pace_test.py
+++ b/wasabidrum/decisions/inbound_pace_test.py
@@ -1,4 +1,4 @@
-"""How fast weights come over links of any width, replayed."""
+"""Simulates weights that arrive over links of any width, at the adapted rate."""
 
 import unittest
 
@@ -11,9 +11,12 @@
 
 
 def replay(link_rate: float, chunks: int, adapts: bool) -> tuple[float, float]:
-    """Plays chunks over a link; returns the worst wait behind them after the first, and the time.
+    """Simulates chunks over a link.
 
-    A request that comes when a chunk has just been sent waits for all that is on its way.
+    A request that arrives when a chunk has just been sent waits for everything in flight.
+
+    Returns:
+      The longest such wait after the first chunk, and the total time, in seconds.
     """
     pace = InboundPace(SETTINGS_RATE)
     now = free_at = worst = 0.0
@@ -32,7 +35,7 @@
 
 
 class InboundPaceTest(unittest.TestCase):
-    """Links as wide as their settings say, and others."""
+    """Links as wide as their settings say, and narrower ones."""
 
     def test_on_a_narrow_link_requests_do_not_wait_behind_weights(self) -> None:
         """Guards against requests that reach an engine after their callers have left."""
@@ -41,13 +44,13 @@
             self.assertLess(worst, 0.5)
             self.assertGreater(replay(link_rate, CHUNKS, adapts=False)[0], 1.0)
 
-    def test_a_sound_link_is_used_in_full(self) -> None:
+    def test_a_healthy_link_is_used_in_full(self) -> None:
         worst, seconds = replay(587_000.0, CHUNKS, adapts=True)
         self.assertLess(worst, 0.01)
         self.assertAlmostEqual(seconds, AT_ONCE * CHUNKS * CHUNK_BYTES / SETTINGS_RATE, delta=0.5)
 
-    def test_a_link_that_is_wide_again_is_found_to_be(self) -> None:
-        """Guards against an engine that stays without weights long after its link is sound."""
+    def test_recovery_of_a_link_is_detected(self) -> None:
+        """Guards against an engine that stays without weights long after its link recovered."""
         pace = InboundPace(SETTINGS_RATE)
         pace.record(CHUNK_BYTES, 2, 0.35, 3.0)
         self.assertTrue(pace.narrow)
@@ -57,7 +60,7 @@
             pace.record(CHUNK_BYTES, 1, 0.0, 0.0)
         self.assertLess(seconds, 8.0)
 
-    def test_it_never_stops_altogether(self) -> None:
+    def test_rate_never_falls_to_zero(self) -> None:
         pace = InboundPace(SETTINGS_RATE)
         for _ in range(100):
             pace.record(CHUNK_BYTES, 1, 1.0, 100.0)
--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -1,43 +1,45 @@
-"""Which peer holds up the chunks that are waited for at it, and not this sidecar's own link.
-
-Load pattern: while a version spreads, everyone waits at a few peers for chunks that these still
-lack. A peer that waits itself says nothing for seconds, and so does one that is suspended, or
-whose link has become narrow. Told apart only when the long wait is over, one such peer keeps its
-part of the version from the whole fleet for four seconds each time; and a probe that waits for
-it delays what its asker is about to draw. A healthy peer answers a probe at once, whatever it
-waits for. So the peers at which this sidecar waits are probed, others with them, and one that is
-silent for longer than another took is passed over. What the others took is the measure, because
-all answers come late behind what this sidecar's own link carries; to pass over everybody for
-that would cost the origin a copy.
-
-What it costs the origin: what a silent peer had drawn is drawn once more, by one other. That is
-a sixth of a copy where one of six is lost, and a third where two are; nothing on a calm day.
+"""Detects unresponsive peers, and tells them apart from a slow link of this sidecar itself.
+
+Load pattern: while a version spreads, all sidecars wait at a few peers for chunks that these still
+lack. A peer that waits itself says nothing for seconds; so does one that is suspended or whose
+link has become narrow. If these were told apart only when the long wait times out, one such peer
+would keep its part of the version from the whole fleet for four seconds each time, and a probe
+that waits for it would delay what its sender is about to fetch from the origin.
+
+A healthy peer answers a probe at once, whatever it waits for. So the peers at which this sidecar
+waits are probed together with some reference peers, and a peer that is silent for PROMPT_SECONDS
+longer than the fastest took is skipped. The comparison is relative because all answers are late
+while this sidecar's own link is busy; skipping all peers for that would cost the origin a copy.
+
+Cost for the origin: the chunks that a silent peer had fetched are fetched once more, by one other
+sidecar. That is a sixth of a copy where one of six is lost, and a third where two are; nothing
+where no peer is silent.
 """
 
 import collections.abc
 
-# How much longer than another a peer may take to answer a probe.
+# How much longer than the fastest peer of its round a peer may take to answer a probe.
 PROMPT_SECONDS = 0.5
 # How long an answer counts, before the peer is probed again.
 LOOK_SECONDS = 1.0
-# Others that are probed with one at which this sidecar waits; two, for one of them may be as
-# badly off.
-WITNESSES = 2
-# Where even the first answer takes as long, the own link is far narrower than it should be.
-DOUBTFUL_SECONDS = 1.5
-# How long that counts: peers that were silent are passed over for two seconds, and are not
-# probed meanwhile.
-DOUBT_LASTS_SECONDS = 3.0
+# Reference peers that are probed along with a peer at which this sidecar waits; two, because one
+# of them may be unresponsive as well.
+REFERENCE_PEERS = 2
+# If even the fastest answer takes this long, the own link is far narrower than it should be.
+SLOW_LINK_SECONDS = 1.5
+# How long that suspicion lasts: silent peers are skipped for two seconds, and are not probed
+# meanwhile.
+SUSPICION_SECONDS = 3.0
 
-Answers = collections.abc.Mapping[str, float | None]
+AnswerTimes = collections.abc.Mapping[str, float | None]
 
 
-def find_silent(answers: Answers, elapsed: float) -> list[str]:
-    """Returns which of the peers that were probed together are to be passed over.
+def find_silent(answers: AnswerTimes, elapsed: float) -> list[str]:
+    """Returns which peers of one round of probes are to be skipped.
 
     Args:
-      answers: After how many seconds each peer answered; None for one that has not.
-      elapsed: The seconds since they were probed.
+      answers: How many seconds each peer took to answer; None for one that has not answered.
+      elapsed: The seconds since the probes were sent.
     """
     taken = [seconds for seconds in answers.values() if seconds is not None]
     if not taken or elapsed < min(taken) + PROMPT_SECONDS:
@@ -46,44 +48,45 @@
 
 
 class PeerResponsiveness:
-    """When each peer answered a probe last, and how this sidecar's own link seems to be."""
+    """When each peer last answered a probe, and whether this sidecar's own link seems slow."""
 
-    __slots__ = ("_answered_at", "_doubted_at", "_draws_are_slow")
+    __slots__ = ("_answered_at", "_suspected_at", "_origin_is_slow")
 
     def __init__(self) -> None:
         self._answered_at: dict[str, float] = {}
-        self._doubted_at = -DOUBT_LASTS_SECONDS
-        self._draws_are_slow = False
+        self._suspected_at = -SUSPICION_SECONDS
+        self._origin_is_slow = False
 
-    def note_round(self, answers: Answers, elapsed: float, now: float) -> None:
-        """Takes what came of some probes that were sent together."""
+    def note_round(self, answers: AnswerTimes, elapsed: float, now: float) -> None:
+        """Records the outcome of probes that were sent together."""
         for name, seconds in answers.items():
             if seconds is not None:
                 self._answered_at[name] = now - elapsed + seconds
         fastest = min((s for s in answers.values() if s is not None), default=elapsed)
         if fastest < PROMPT_SECONDS:
-            self._doubted_at = now - DOUBT_LASTS_SECONDS
-        elif fastest >= DOUBTFUL_SECONDS and len(answers) >= WITNESSES:
-            self._doubted_at = now
+            self._suspected_at = now - SUSPICION_SECONDS
+        elif fastest >= SLOW_LINK_SECONDS and len(answers) >= REFERENCE_PEERS:
+            self._suspected_at = now
 
     def record_draw(self, seconds: float) -> None:
-        """Records how long a chunk took to come from the origin; a prompt one clears the own link.
+        """Records how long a fetch from the origin took; a fast one clears the own link.
 
-        One that is cut off from all its peers finds them silent too, and has the origin only.
+        A sidecar that is cut off from all its peers finds them silent too, and can reach only
+        the origin.
         """
-        self._draws_are_slow = seconds >= PROMPT_SECONDS
+        self._origin_is_slow = seconds >= PROMPT_SECONDS
 
     def answered_lately(self, name: str, now: float) -> bool:
-        """Returns whether a peer has answered so lately that it need not be probed."""
+        """Returns whether a peer has answered so recently that it need not be probed."""
         return now - self._answered_at.get(name, -LOOK_SECONDS) < LOOK_SECONDS
 
     def own_link_suspected(self, now: float) -> bool:
-        """Returns whether several peers were probed lately and all were late, and draws as well."""
-        return self._draws_are_slow and now - self._doubted_at < DOUBT_LASTS_SECONDS
+        """Returns whether all of several peers answered late recently, and the origin did too."""
+        return self._origin_is_slow and now - self._suspected_at < SUSPICION_SECONDS
 
     def choose_witnesses(self, name: str, others: collections.abc.Iterable[str]) -> list[str]:
-        """Returns whom to probe beside a peer, so that its silence can be told from one's own."""
+        """Returns the peers to probe with a peer, to tell its silence from a slow own link."""
         others = [other for other in others if other != name]
-        # Those that answered last are the likeliest to do so again.
+        # Those that answered most recently are the likeliest to answer again.
         ranked = sorted(others, key=lambda other: (-self._answered_at.get(other, 0.0), other))
-        return ranked[:WITNESSES]
+        return ranked[:REFERENCE_PEERS]
--- a/wasabidrum/decisions/rollout_wave.py
+++ b/wasabidrum/decisions/rollout_wave.py
@@ -1,13 +1,15 @@
 """When an endpoint may switch to a version that it holds completely.
 
-Load pattern: hundreds of endpoints become ready within seconds of each other while live
-requests flow. If all switched at once nobody would answer; if the version cannot be
-loaded, all would crash with it. There is no coordinator to ask, so the order of endpoints
-is computed from the configuration alone: the first in line tries the version and must stay
-up for a while, and the news of it spreads down a binary tree of that order. Then the
-endpoints switch in as many chains as may be away at once. In a chain one switches at a
-time, so the limit holds however late any of them is, and each asks only the few others of
-its chain, whatever the size of the fleet.
+Load pattern: hundreds of endpoints become ready within seconds of each other while live requests
+arrive. If all switched at once, none would answer; if the version cannot be loaded, all would
+crash with it. There is no coordinator, so each endpoint computes the same rollout order from the
+configuration alone.
+
+The first endpoint in the order is the canary: it loads the version and must stay up for a while,
+and the result spreads down a binary tree of the order. Then the endpoints switch in as many chains
+as may be unavailable at once. Within a chain one endpoint switches at a time, so the limit holds
+however slow any of them is, and each asks only the few others of its chain, whatever the size of
+the fleet.
 """
 
 import collections.abc
@@ -18,16 +20,16 @@
 
 FIRST_IN_LINE = 5
 FAILURES_TO_STOP = 2
-FEW_ENDPOINTS = 4
-PATIENCE_WITH_FIRST_SECONDS = 10.0
+SMALL_FLEET_ENDPOINTS = 4
+CANARY_TIMEOUT_SECONDS = 10.0
 
 Statuses = collections.abc.Mapping[str, Status | None]
 
 
 class Proof(enum.Enum):
-    """What is known of a version's first endpoints.
+    """What is known of a version's canaries.
 
-    TRY says that this endpoint is the one to find out.
+    TRY tells this endpoint to be the canary.
     """
 
     WAIT = "wait"
@@ -42,10 +44,10 @@
 
 
 def find_contacts(order: list[str], name: str) -> list[str]:
-    """Returns whom to ask for news of the version, the nearest first.
+    """Returns the endpoints to ask for the result of the canaries, the nearest first.
 
-    The first few ask all before them, because each may have to try next; any other asks
-    its parent in the binary tree, and those above where the parent is dead.
+    The canary candidates ask all before them, because each may have to be the next canary. Any
+    other endpoint asks its parent in the binary tree, and further ancestors if the parent is dead.
     """
     place = order.index(name)
     if place < FIRST_IN_LINE:
@@ -58,15 +60,15 @@
 
 
 def find_chain(order: list[str], name: str, away_fraction: float) -> list[str]:
-    """Returns the others of an endpoint's chain, in their order."""
+    """Returns the other endpoints of an endpoint's chain, in rollout order."""
     chains = max(1, int(len(order) * away_fraction))
     place = order.index(name)
     return [order[other] for other in range(place % chains, len(order), chains) if other != place]
 
 
 def failures_to_stop(endpoints: int) -> int:
-    """Returns how many failures without a success stop a version."""
-    return FAILURES_TO_STOP if endpoints >= FEW_ENDPOINTS else 1
+    """Returns how many canary failures without a success stop a version."""
+    return FAILURES_TO_STOP if endpoints >= SMALL_FLEET_ENDPOINTS else 1
 
 
 def judge_proof(
@@ -78,31 +80,31 @@
       statuses: The contacts that were asked; None for one that did not answer.
       ready_seconds: For how long this endpoint has been ready to switch.
     """
-    heard = [status for status in statuses.values() if status is not None]
-    failures = sum(status.failed_version == version for status in heard)
-    if any(status.stopped == version for status in heard):
+    answered = [status for status in statuses.values() if status is not None]
+    failures = sum(status.failed_version == version for status in answered)
+    if any(status.stopped == version for status in answered):
         return Proof.STOPPED
-    if any(status.proven == version for status in heard):
+    if any(status.proven == version for status in answered):
         return Proof.PROVEN
     if failures >= failures_to_stop(len(order)):
         return Proof.STOPPED
-    impatient = ready_seconds >= PATIENCE_WITH_FIRST_SECONDS
+    timed_out = ready_seconds >= CANARY_TIMEOUT_SECONDS
     if order.index(name) < FIRST_IN_LINE:
-        pending = any(may_still_try(status, version, impatient) for status in heard)
+        pending = any(may_become_canary(status, version, timed_out) for status in answered)
         return Proof.WAIT if pending else Proof.TRY
-    return Proof.TRY if not heard and impatient else Proof.WAIT
+    return Proof.TRY if not answered and timed_out else Proof.WAIT
 
 
-def may_still_try(status: Status, version: str, impatient: bool) -> bool:
-    """Returns whether an endpoint ahead in line is still to find out about a version."""
+def may_become_canary(status: Status, version: str, timed_out: bool) -> bool:
+    """Returns whether an endpoint earlier in the order may still become the canary."""
     if status.failed_version == version:
         return False
     ready = status.staged == version or status.version == version or status.switching
-    return ready or not impatient
+    return ready or not timed_out
 
 
 def may_switch(order: list[str], name: str, version: str, chain: Statuses) -> bool:
-    """Returns whether nobody of the chain switches now or is ready and goes first."""
+    """Returns whether no other endpoint of the chain switches now, or is ready and goes first."""
     place = order.index(name)
     for other, status in chain.items():
         if status is None or status.version == version or status.failed_version == version:
@@ -115,7 +117,7 @@
 
 
 def find_rivals(chain: Statuses, version: str) -> list[str]:
-    """Returns those of the chain that say that they switch now."""
+    """Returns the endpoints of the chain that report that they are switching now."""
     return [
         name
         for name, status in chain.items()
--- a/wasabidrum/decisions/rollout_wave_test.py
+++ b/wasabidrum/decisions/rollout_wave_test.py
@@ -1,4 +1,4 @@
-"""Tests of when an endpoint may switch."""
+"""Tests of when an endpoint may switch to a version."""
 
 import random
 import unittest
@@ -18,18 +18,18 @@
 
 
 class RolloutWaveTest(unittest.TestCase):
-    """One tries, all learn of it, few are away at once."""
+    """A canary tries a version, all learn the result, and few are unavailable at once."""
 
-    def test_news_reaches_everyone_through_few(self) -> None:
+    def test_result_of_the_canary_reaches_all_through_few_contacts(self) -> None:
         order = rollout_wave.rollout_order("root", [f"w{i}" for i in range(710)])
         for name in order[1:]:
             contacts = rollout_wave.find_contacts(order, name)
             self.assertLessEqual(len(contacts), 10)
             self.assertEqual(contacts[-1] if len(contacts) > 4 else order[0], order[0])
 
-    def test_the_first_tries_and_the_next_only_after_its_failure(self) -> None:
-        """The first endpoint of a version dies of it. One more must find out whether it was
-        the instance or the version; all others hold back."""
+    def test_second_endpoint_tries_only_after_the_first_has_failed(self) -> None:
+        """The first endpoint crashes with a version. One more must find out whether the instance
+        or the version caused it; all others wait."""
         order = rollout_wave.rollout_order("root", [f"w{i}" for i in range(8)])
 
         def judge(place: int, **facts: object) -> Proof:
--- a/wasabidrum/decisions/send_rate.py
+++ b/wasabidrum/decisions/send_rate.py
@@ -1,24 +1,28 @@
-"""How many requests an entry sends in a second, by its latest ones."""
+"""How many requests per second an entry sends, by its latest requests."""
 
 import math
 
-MEMORY_SECONDS = 1.0
+DECAY_SECONDS = 1.0
 
 
 class SendRate:
-    """A rate that forgets what is long past."""
+    """An exponentially decaying rate."""
 
-    __slots__ = ("_sum", "_at")
+    __slots__ = ("_decayed_count", "_updated_at")
 
     def __init__(self) -> None:
-        self._sum = 0.0
-        self._at = 0.0
+        self._decayed_count = 0.0
+        self._updated_at = 0.0
 
     def take(self, now: float) -> None:
         """Counts one request."""
-        self._sum = self.per_second(now) * MEMORY_SECONDS + 1.0
-        self._at = now
+        self._decayed_count = self.per_second(now) * DECAY_SECONDS + 1.0
+        self._updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Returns requests a second."""
-        return self._sum * math.exp(-(now - self._at) / MEMORY_SECONDS) / MEMORY_SECONDS
+        """Returns the requests per second."""
+        return (
+            self._decayed_count
+            * math.exp(-(now - self._updated_at) / DECAY_SECONDS)
+            / DECAY_SECONDS
+        )
--- a/wasabidrum/decisions/switch_turns_test.py
+++ b/wasabidrum/decisions/switch_turns_test.py
@@ -1,4 +1,4 @@
-"""Which engines load new weights first, and what that leaves to answer callers."""
+"""Which engines load new weights first, and how many keep answering meanwhile."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 ENGINES = {f"e{i}": REGIONS[i % 3] for i in range(10)}
 BOUND = 8.0
 STAGED_AT = 5.2
-# How long an engine takes nothing new while it loads weights.
+# How long an engine accepts no requests while it loads weights.
 AWAY_SECONDS = 2.0
 
 
@@ -17,7 +17,7 @@
     """Ten engines in three regions, whose weights are complete at the same moment."""
 
     def answering(self, at: float) -> int:
-        """Returns how many engines take requests, some seconds after a naming."""
+        """Returns how many engines accept requests, some seconds after a naming."""
         count = 0
         for name in ENGINES:
             turn = turn_of(2, name, ENGINES)
@@ -29,17 +29,17 @@
         return count
 
     def test_half_of_the_engines_answer_while_the_others_load(self) -> None:
-        """All engines load together, and nobody is served for two seconds."""
+        """Guards against all engines loading together, which serves nobody for two seconds."""
         moments = [STAGED_AT - 2.0 + 0.1 * step + 0.01 for step in range(60)]
         self.assertGreaterEqual(min(self.answering(at) for at in moments), 5)
         self.assertEqual(self.answering(moments[-1]), 10)
 
-    def test_runs_end_while_the_last_pieces_come(self) -> None:
-        """An engine that is ordered with all its places taken is away for two seconds more."""
+    def test_running_requests_end_while_the_last_pieces_arrive(self) -> None:
+        """An engine that is ordered with all its slots taken is unavailable two seconds longer."""
         self.assertTrue(ends_runs_early(0, 10, 0.8, 4.0))
         self.assertFalse(ends_runs_early(0, 10, 0.5, 2.6))
 
-    def test_the_only_engine_and_those_of_the_second_turn_go_on(self) -> None:
+    def test_only_engine_and_engines_of_the_second_turn_do_not_drain_early(self) -> None:
         self.assertFalse(ends_runs_early(0, 1, 0.9, 4.0))
         self.assertFalse(ends_runs_early(1, 10, 0.9, 4.0))
 
@@ -49,13 +49,13 @@
             turns = {turn_of(2, name, ENGINES) for name in names}
             self.assertEqual(turns, {0, 1})
 
-    def test_weights_that_come_late_are_loaded_at_once(self) -> None:
-        """Waiting for a turn beyond the bound, an engine would stand idle with old weights."""
+    def test_weights_that_arrive_late_are_loaded_at_once(self) -> None:
+        """An engine that waited for its turn beyond the bound would be idle with old weights."""
         self.assertEqual(seconds_until_turn(1, BOUND, BOUND), 0.0)
 
-    def test_an_engine_that_answers_nothing_goes_first(self) -> None:
+    def test_engine_that_serves_no_callers_goes_first(self) -> None:
         self.assertEqual(turn_of(2, "added", ENGINES), 0)
 
-    def test_the_last_turn_ends_its_wait_when_old_weights_may_not_answer_any_more(self) -> None:
+    def test_the_last_turn_begins_at_the_latest_when_old_weights_expire(self) -> None:
         named_for = BOUND - PLACE_MARGIN_SECONDS - 0.5
         self.assertAlmostEqual(seconds_until_turn(1, named_for, BOUND), 0.5)
--- a/wasabidrum/decisions/version_choice.py
+++ b/wasabidrum/decisions/version_choice.py
@@ -1,61 +1,65 @@
-"""Which of the versions that were named a process brings now.
+"""Which of the named versions a process downloads now.
 
-Load pattern: versions are named faster than weights travel. Where each naming ends the work for
-the one before, none is ever complete, and once the bounds of all have passed nobody is served.
-Where each is finished, a version that is replaced at once delays its successor by a whole
-transfer.
+Load pattern: versions are named faster than weights can be transferred. If each naming aborted the
+download of the version before, none would ever be complete, and nobody would be served once the
+bounds of all had passed. If each download were finished, a version that is replaced at once would
+delay its successor by a whole transfer.
 
-So a version of which half is here is finished before a newer one is begun. One of which less is
-here is set aside, as long as all that was set aside since the last complete version is less than
-half of one. What stalls, as where the origin goes away, makes way for the other.
+So a version of which half has arrived is finished before a newer one is begun. One of which less
+has arrived is set aside, as long as the shares that were set aside since the last complete version
+add up to less than half of one. A download that stalls, for instance because the origin is gone,
+makes way for the other version.
 """
 
-# The share of a version from which on it is finished first: beyond it, what is lost by beginning
-# anew is more than the newer version gains.
-FINISHED_FIRST = 0.5
+# The share of a version from which on its download is finished first: beyond it, starting over
+# loses more than the newer version gains.
+FINISH_FIRST_SHARE = 0.5
 # Longer than a chunk takes behind several others on a narrow link.
-STALLED_SECONDS = 1.5
+STALL_TIMEOUT_SECONDS = 1.5
 
 
 class VersionChoice:
-    """The version that is being brought, and the one that was set aside for it.
+    """The version that is being downloaded, and the one that was set aside for it.
 
     Attributes:
-      version: The one to bring now; None before the first.
+      version: The version to download now; None before the first.
     """
 
-    __slots__ = ("version", "_returns", "_set_aside", "_abandoned")
+    __slots__ = ("version", "_may_resume", "_set_aside", "_abandoned_share")
 
     def __init__(self, returns: bool = True) -> None:
-        """Takes whether it goes back to what was set aside where the newer version stalls.
+        """Creates a choice.
 
-        Those that give weights to others do not: each would wait for what the other has left.
+        Args:
+          may_resume: Whether to resume the version that was set aside when the newer one stalls.
+            Processes that send weights to others must not: two of them would each wait for the
+            part of the version that the other has set aside.
         """
         self.version: int | None = None
-        self._returns = returns
+        self._may_resume = returns
         self._set_aside: int | None = None
-        self._abandoned = 0.0
+        self._abandoned_share = 0.0
 
     def choose(self, newest: int, share: float, idle: float, complete: bool) -> int:
-        """Returns which version to bring now.
+        """Returns the version to download now.
 
         Args:
           newest: The newest version that was named.
-          share: The share of the current version that is here.
-          idle: The seconds since anything of it came, or since it was begun.
-          complete: All of it is here and in use.
+          share: The share of the current version that has arrived.
+          idle: The seconds since some of it arrived, or since its download began.
+          complete: All of it has arrived and is in use.
         """
-        stalled = idle > STALLED_SECONDS
+        stalled = idle > STALL_TIMEOUT_SECONDS
         if self.version is None or complete:
-            self.version, self._set_aside, self._abandoned = newest, None, 0.0
+            self.version, self._set_aside, self._abandoned_share = newest, None, 0.0
         elif self.version == newest:
-            may_return = self._returns and self._set_aside is not None
-            if stalled and share < 1.0 and may_return:
+            can_resume = self._may_resume and self._set_aside is not None
+            if stalled and share < 1.0 and can_resume:
                 self.version, self._set_aside = self._set_aside, newest
-        elif stalled or self._abandoned + share < FINISHED_FIRST:
-            self._abandoned += share
-            # Of a version of which nothing is here, nothing is lost; zero stands for whichever one
-            # peers know as the newest, which is no version to go back to.
+        elif stalled or self._abandoned_share + share < FINISH_FIRST_SHARE:
+            self._abandoned_share += share
+            # Nothing is lost of a version of which nothing has arrived. Zero stands for whatever
+            # version peers know as the newest, so it cannot be resumed.
             if self.version and share > 0.0:
                 self._set_aside = self.version
             self.version = newest
--- a/wasabidrum/decisions/weights_retirement.py
+++ b/wasabidrum/decisions/weights_retirement.py
@@ -1,14 +1,15 @@
-"""When the engine beside a sidecar must take nothing more on weights that were replaced.
+"""When the engine beside a sidecar must accept no more requests on replaced weights.
 
-Load pattern: requests lie for seconds on a narrow link, or in the sockets of an instance that is
-suspended. Their entry sent them in time and has recalled them in time, but the reset comes behind
-them on the same way: they begin after the bound. Only what stands beside the engine can act then.
+Load pattern: requests are delayed for seconds on a narrow link, or in the sockets of a suspended
+instance. Their entry sent and recalled them in time, but the reset follows them on the same path,
+so that they begin after the bound. Only a process beside the engine can prevent that.
 
-Entries decide when old weights are no longer placed on, because they know of the store's outages.
-Each tells every sidecar how long that is. Once it has passed for all, the engine is taken off the
-old weights. An entry whose stream has ended is not waited for; it judges anew what it sends later.
+Entries decide when requests are no longer placed on old weights, because they know of the store's
+outages. Each entry tells every sidecar how long that is. Once the limits of all entries have
+passed, the engine gives up the old weights. An entry whose stream has ended is not waited for; it
+decides again about the requests that it sends later.
 
-All times are of a clock that counts while the instance is suspended.
+All times are of a clock that also advances while the instance is suspended.
 """
 
 import collections.abc
@@ -16,41 +17,47 @@
 
 from ..core.placing_limit import PlacingLimit
 
-# What was placed last is on its way for so long where links are as wide as they should be, and an
-# engine whose last pieces are about to come is better off with all of them at once.
+# How long the last placed requests are in flight where links have their proper width. Also, an
+# engine whose last pieces are about to arrive is better off loading all of them at once.
 IN_FLIGHT_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limit:
-    """When one entry stops placing on versions older than this one."""
+class EntryLimit:
+    """When one entry stops placing requests on versions older than this one."""
 
     version: int
     stops_at: float
 
 
 class WeightsRetirement:
-    """The limits that entries have told, by entry."""
+    """The limits that each entry has reported."""
 
     __slots__ = ("_limits",)
 
     def __init__(self) -> None:
-        self._limits: dict[str, tuple[Limit, ...]] = {}
+        self._limits: dict[str, tuple[EntryLimit, ...]] = {}
 
     def record(
         self, entry: str, model: str, limits: collections.abc.Iterable[PlacingLimit], now: float
     ) -> None:
-        """Records an entry's limits for a model, in place of those it told before."""
+        """Records an entry's limits for a model, replacing its earlier ones."""
         self._limits[entry] = tuple(
-            Limit(limit.version, now + limit.seconds) for limit in limits if limit.model == model
+            EntryLimit(limit.version, now + limit.seconds)
+            for limit in limits
+            if limit.model == model
         )
 
     def forget(self, entry: str) -> None:
-        """Drops what an entry told, as when its stream has ended."""
+        """Drops an entry's limits, for instance when its stream has ended."""
         self._limits.pop(entry, None)
 
     def due(self, weights: int, now: float) -> bool:
-        """Returns whether all entries known have stopped placing on some weights."""
+        """Returns whether all known entries have stopped placing requests on a version.
+
+        Args:
+          weights: The version that the engine holds.
+        """
         stops = [
             min((limit.stops_at for limit in limits if limit.version > weights), default=None)
             for limits in self._limits.values()
--- a/wasabidrum/decisions/weights_retirement_test.py
+++ b/wasabidrum/decisions/weights_retirement_test.py
@@ -1,4 +1,4 @@
-"""When engines are taken off weights that were replaced."""
+"""Tests of when an engine gives up weights that were replaced."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 def limit(version: int, seconds: float, put_off: int = 0) -> PlacingLimit:
-    """Returns a limit as an entry tells it."""
+    """Returns a limit as an entry reports it."""
     return PlacingLimit(MODEL, version, seconds, put_off)
 
 
@@ -19,32 +19,32 @@
     def setUp(self) -> None:
         self.retirement = WeightsRetirement()
 
-    def test_it_is_due_once_all_entries_have_stopped_placing_on_its_weights(self) -> None:
+    def test_weights_are_due_once_all_entries_have_stopped_placing_on_them(self) -> None:
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("b", MODEL, [limit(2, 6.5)], 101.0)
         self.assertFalse(self.retirement.due(1, 107.4 + IN_FLIGHT_SECONDS))
         self.assertTrue(self.retirement.due(1, 107.5 + IN_FLIGHT_SECONDS))
         self.assertFalse(self.retirement.due(2, 200.0))
 
-    def test_an_entry_that_knows_of_no_newer_version_holds_it_back(self) -> None:
-        """Guards against an engine out of service for a naming that entries do not act on."""
+    def test_an_entry_that_knows_of_no_newer_version_delays_retirement(self) -> None:
+        """Guards against an engine out of service because of a version that entries ignore."""
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("b", MODEL, [], 100.0)
         self.assertFalse(self.retirement.due(1, 200.0))
         self.retirement.forget("b")
         self.assertTrue(self.retirement.due(1, 200.0))
 
-    def test_where_no_entry_is_known_nothing_is_due(self) -> None:
+    def test_without_known_entries_nothing_is_due(self) -> None:
         self.assertFalse(self.retirement.due(1, 200.0))
 
-    def test_an_outage_of_the_store_puts_it_off(self) -> None:
+    def test_an_outage_of_the_store_delays_retirement(self) -> None:
         """Guards against an engine out of service while the bound does not count."""
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("a", MODEL, [limit(2, 9.0, 6)], 104.0)
         self.assertFalse(self.retirement.due(1, 112.0))
         self.assertTrue(self.retirement.due(1, 113.0 + IN_FLIGHT_SECONDS))
 
-    def test_the_first_of_two_newer_versions_counts(self) -> None:
+    def test_the_earlier_limit_of_two_newer_versions_counts(self) -> None:
         self.retirement.record("a", MODEL, [limit(2, 5.0), limit(3, 9.0)], 100.0)
         self.assertTrue(self.retirement.due(1, 105.0 + IN_FLIGHT_SECONDS))
         self.assertFalse(self.retirement.due(2, 105.0 + IN_FLIGHT_SECONDS))
