--- a/wasabidrum/decisions/chunk_route_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -8,12 +8,12 @@
 import hypothesis
 from hypothesis import strategies
 
-from . import chunk_route
+from . import chunk_source_choice
 from .chunk_eviction import HeldChunk, choose_victim
 from .chunk_evidence import ChunkEvidence
 from .chunk_pacing import LinkSchedule
 from .chunk_plan import RELAY_FANOUT, ChunkPlan
-from .chunk_route import Asker, StepKind, find_holder
+from .chunk_source_choice import Asker, StepKind, find_holder
 
 REGIONS = ("rift-a", "nbi-a", "msa-a")
 ROUND_SECONDS = 0.5
@@ -55,7 +55,7 @@
         self.origin_up = True
         self.origin_fetches: dict[str, int] = {}
 
-    def usable(self, name: str, digest: str) -> chunk_route.Usable:
+    def usable(self, name: str, digest: str) -> chunk_source_choice.Usable:
         """Returns which peers one instance may ask for a chunk, by its own observations."""
         evidence = self.evidence[name]
         return lambda other: (
@@ -91,12 +91,12 @@
         asker = Asker(name, self.regions[name])
         index = plan.index_of(digest)
         usable = self.usable(name, digest)
-        step = chunk_route.find_step(plan, asker, index, usable)
+        step = chunk_source_choice.find_step(plan, asker, index, usable)
         if step.kind is StepKind.ASK:
             self.ask(name, step.peer, digest)
             return
         evidence = self.evidence[name]
-        likely = chunk_route.choose_probes(
+        likely = chunk_source_choice.choose_probes(
             plan, asker, index, digest, lambda p: not evidence.avoided(p, self.now), probes
         )
         if any(self.ask(name, peer, digest, True) for peer in likely) or not self.origin_up:
@@ -204,7 +204,7 @@
         for name in plan.regions["rift-a"].names:
             asker = Asker(name, "rift-a")
             held = [
-                HeldChunk(digest, 1, chunk_route.rank_to_keep(plan, asker, digest))
+                HeldChunk(digest, 1, chunk_source_choice.rank_to_keep(plan, asker, digest))
                 for digest in chunks
             ]
             while len(held) > 30:
@@ -273,7 +273,7 @@
         for name, region in self.regions.items():
             asker = Asker(name, region)
             for index in range(len(self.chunks)):
-                asked = chunk_route.find_relay(self.plan, asker, index, lambda other: True)
+                asked = chunk_source_choice.find_relay(self.plan, asker, index, lambda other: True)
                 self.assertEqual(self.relays[asked], region)
 
     def test_relays_of_a_region_share_the_chunks_evenly(self) -> None:
@@ -288,11 +288,17 @@
         asker = Asker(name, region)
         near = [relay for relay, where in self.relays.items() if where == region]
         for dead in near:
-            asked = chunk_route.find_relay(self.plan, asker, 0, lambda other, d=dead: other != d)
+            asked = chunk_source_choice.find_relay(
+                self.plan, asker, 0, lambda other, d=dead: other != d
+            )
             self.assertEqual([asked], [relay for relay in near if relay != dead])
-        none_left = chunk_route.find_relay(self.plan, asker, 0, lambda other: other in self.regions)
+        none_left = chunk_source_choice.find_relay(
+            self.plan, asker, 0, lambda other: other in self.regions
+        )
         self.assertEqual(none_left, "")
-        step = chunk_route.find_step(self.plan, asker, 0, lambda other: other in self.regions)
+        step = chunk_source_choice.find_step(
+            self.plan, asker, 0, lambda other: other in self.regions
+        )
         self.assertNotIn(step.peer, self.relays)
 
     def test_relay_serves_a_few_instances_and_the_rest_ask_along_the_tree(self) -> None:
@@ -300,7 +306,7 @@
         regions = {f"w{i}": "rift-a" for i in range(40)}
         plan = ChunkPlan("root", self.chunks, regions, relays={"r0": "rift-a"})
         asked = [
-            chunk_route.find_relay(plan, Asker(name, "rift-a"), 0, lambda other: True)
+            chunk_source_choice.find_relay(plan, Asker(name, "rift-a"), 0, lambda other: True)
             for name in regions
         ]
         self.assertEqual(asked.count("r0"), RELAY_FANOUT)
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from . import chunk_route
+from . import chunk_source_choice
 from .chunk_evidence import ChunkEvidence
 from .chunk_plan import ChunkPlan
-from .chunk_route import Asker, StepKind
+from .chunk_source_choice import Asker, StepKind
 from .peer_responsiveness import (
     LOOK_SECONDS,
     PROMPT_SECONDS,
@@ -140,7 +140,7 @@
             self.assertEqual(len(part), 8)
             for index in part:
                 steps = [
-                    chunk_route.find_step(
+                    chunk_source_choice.find_step(
                         plan, Asker(name, region), index, lambda n, lost=lost: n != lost
                     )
                     for name, region in REGION_OF.items()
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -8,10 +8,10 @@
 
 from ..config.settings import Settings
 from ..core.errors import CodedError
-from ..decisions import chunk_route
+from ..decisions import chunk_source_choice
 from ..decisions.chunk_evidence import SLOW_PAUSE_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.chunk_route import Asker, Step, StepKind
+from ..decisions.chunk_source_choice import Asker, Step, StepKind
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -224,7 +224,7 @@
         # ask it for, and others would draw the same once more; so it stands last.
         return Asker(name, self._settings.region, self._known())
 
-    def _usable(self, digest: str, members: dict[str, MemberView]) -> chunk_route.Usable:
+    def _usable(self, digest: str, members: dict[str, MemberView]) -> chunk_source_choice.Usable:
         now = self._now()
 
         def usable(name: str) -> bool:
@@ -244,20 +244,22 @@
         if self._settings.weights_from == "origin":
             return Step(StepKind.DRAW)
         if self._settings.weights_from == "chain":
-            return chunk_route.find_chain_step(plan, asker, usable)
-        relay = chunk_route.find_relay(plan, asker, index, usable)
+            return chunk_source_choice.find_chain_step(plan, asker, usable)
+        relay = chunk_source_choice.find_relay(plan, asker, index, usable)
         if relay:
             return Step(StepKind.ASK, relay)
-        holder = chunk_route.find_holder(self.asker.holders, asker.name, digest, usable)
+        holder = chunk_source_choice.find_holder(self.asker.holders, asker.name, digest, usable)
         if holder:
             return Step(StepKind.ASK, holder)
-        return chunk_route.find_step(plan, asker, index, usable)
+        return chunk_source_choice.find_step(plan, asker, index, usable)
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
         asker = self._asker(self.asker.members())
-        rank = chunk_route.rank_to_keep(plan, asker, digest)
+        rank = chunk_source_choice.rank_to_keep(plan, asker, digest)
         self.share_link(plan)
-        self.store.add(digest, content, rank, chunk_route.count_children(plan, asker, index))
+        self.store.add(
+            digest, content, rank, chunk_source_choice.count_children(plan, asker, index)
+        )
 
     async def _bring_in(
         self, plan: ChunkPlan, index: int, digest: str, step: Step, rounds: int
@@ -307,7 +309,7 @@
         else:
             # Once for the version and not for each chunk, or a fleet of which only this one
             # is left would wait for every chunk anew.
-            late = self._begun_at + chunk_route.LONGEST_DELAY_SECONDS - self._now()
+            late = self._begun_at + chunk_source_choice.LONGEST_DELAY_SECONDS - self._now()
             await asyncio.sleep(max(0.0, min(late, step.delay)))
 
     async def _ask_holders(
@@ -318,7 +320,7 @@
         asker = self._asker(members)
         # A peer that lacked the chunk a moment ago may have it by now; probes are cheap.
         now = self._now()
-        names = chunk_route.choose_probes(
+        names = chunk_source_choice.choose_probes(
             plan,
             asker,
             index,
