--- a/wasabidrum/decisions/chunk_evidence_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .chunk_evidence import (
+from .chunk_peer_health import (
     MAX_DISCARDED_FAILURES,
     SLOW_PAUSE_SECONDS,
     WAIT_AFTER_SLOW_COUNT,
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -10,8 +10,8 @@
 
 from . import chunk_source_choice
 from .chunk_eviction import HeldChunk, choose_victim
-from .chunk_evidence import ChunkEvidence
 from .chunk_pacing import LinkSchedule
+from .chunk_peer_health import ChunkEvidence
 from .chunk_plan import RELAY_FANOUT, ChunkPlan
 from .chunk_source_choice import Asker, StepKind, find_holder
 
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -3,7 +3,7 @@
 import unittest
 
 from . import chunk_source_choice
-from .chunk_evidence import ChunkEvidence
+from .chunk_peer_health import ChunkEvidence
 from .chunk_plan import ChunkPlan
 from .chunk_source_choice import Asker, StepKind
 from .peer_responsiveness import (
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -9,7 +9,7 @@
 from ..config.settings import Settings
 from ..core.errors import CodedError
 from ..decisions import chunk_source_choice
-from ..decisions.chunk_evidence import SLOW_PAUSE_SECONDS
+from ..decisions.chunk_peer_health import SLOW_PAUSE_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
 from ..decisions.chunk_source_choice import Asker, Step, StepKind
 from ..observe.event import Event
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -8,8 +8,8 @@
 from ..config.settings import Settings
 from ..core.errors import CodedError
 from ..core.instance import InstanceRole
-from ..decisions.chunk_evidence import ChunkEvidence
 from ..decisions.chunk_pacing import BYTES_PER_MEGABIT
+from ..decisions.chunk_peer_health import ChunkEvidence
 from ..decisions.inbound_pace import InboundPace
 from ..observe.event import Event
 from ..observe.event_log import EventLog
