--- a/wasabidrum/decisions/inbound_pace_test.py
+++ b/wasabidrum/decisions/inbound_rate_limit_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .inbound_pace import InboundPace
+from .inbound_rate_limit import InboundPace
 
 CHUNK_BYTES = 49_152
 CHUNKS = 48
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -10,7 +10,7 @@
 from ..core.instance import InstanceRole
 from ..decisions.chunk_pacing import BYTES_PER_MEGABIT
 from ..decisions.chunk_peer_health import ChunkEvidence
-from ..decisions.inbound_pace import InboundPace
+from ..decisions.inbound_rate_limit import InboundPace
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -5,7 +5,7 @@
 
 from ..core.manifest import Manifest, decode_manifest
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.inbound_pace import PROMPT_SECONDS
+from ..decisions.inbound_rate_limit import PROMPT_SECONDS
 from .distributor import Distributor
 
 # Chunks that this sidecar draws from the origin, at once: enough that the next is under
