--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -44,7 +44,7 @@
     slow_count: int = 0
 
 
-class ChunkEvidence:
+class ChunkPeerHealth:
     """The failures of each peer, and which chunks each said that it lacks."""
 
     __slots__ = ("_records", "_lacking_until", "_discarded")
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -6,7 +6,7 @@
     MAX_DISCARDED_FAILURES,
     SLOW_PAUSE_SECONDS,
     WAIT_AFTER_SLOW_COUNT,
-    ChunkEvidence,
+    ChunkPeerHealth,
 )
 
 
@@ -14,7 +14,7 @@
     """One peer that is slow to answer, or sends corrupt bytes."""
 
     def setUp(self) -> None:
-        self.evidence = ChunkEvidence()
+        self.evidence = ChunkPeerHealth()
 
     def test_all_requests_waiting_at_a_silent_peer_go_elsewhere(self) -> None:
         """Several chunks are requested from a suspended sidecar, and one request detects that it
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -11,7 +11,7 @@
 from . import chunk_source_choice
 from .chunk_eviction import HeldChunk, choose_victim
 from .chunk_pacing import LinkSchedule
-from .chunk_peer_health import ChunkEvidence
+from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import RELAY_FANOUT, ChunkPlan
 from .chunk_source_choice import Asker, StepKind, find_holder
 
@@ -48,7 +48,7 @@
         self.held = {name: set() for name in self.regions}
         self.alive = set(self.regions)
         self.liars: set[str] = set()
-        self.evidence = {name: ChunkEvidence() for name in self.regions}
+        self.evidence = {name: ChunkPeerHealth() for name in self.regions}
         self.waits: dict[tuple[str, str], int] = {}
         self.now = 0.0
         self.loss = 0.0
@@ -215,7 +215,7 @@
     def test_after_the_backoff_one_request_probes_a_failed_peer(self) -> None:
         """A stalled peer's backoff ends. If the requests for all chunks tried it, all would
         stall."""
-        evidence = ChunkEvidence()
+        evidence = ChunkPeerHealth()
         evidence.record_failure("peer", 0.0)
         self.assertTrue(evidence.avoided("peer", 1.0))
         self.assertFalse(evidence.avoided("peer", 2.5))
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -3,7 +3,7 @@
 import unittest
 
 from . import chunk_source_choice
-from .chunk_peer_health import ChunkEvidence
+from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import ChunkPlan
 from .chunk_source_choice import Asker, StepKind
 from .peer_responsiveness import (
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.answer_seconds = {name: 0.01 for name in REGION_OF if name != "side-0"}
         self.responsiveness = PeerResponsiveness()
-        self.evidence = ChunkEvidence()
+        self.evidence = ChunkPeerHealth()
         self.now = 0.0
 
     def probe_all(self) -> set[str]:
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -9,7 +9,7 @@
 from ..core.errors import CodedError
 from ..core.instance import InstanceRole
 from ..decisions.chunk_pacing import BYTES_PER_MEGABIT
-from ..decisions.chunk_peer_health import ChunkEvidence
+from ..decisions.chunk_peer_health import ChunkPeerHealth
 from ..decisions.inbound_rate_limit import InboundPace
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -68,7 +68,7 @@
         self._watch = PeerWatch(self._probe_one, self._others, self._record_held_up)
         self._counts = counts
         self.peers = PeerChunkClient(client, settings.name, settings.region)
-        self.evidence = ChunkEvidence()
+        self.evidence = ChunkPeerHealth()
         self.holders: frozenset[str] = frozenset()
         self.relays: frozenset[str] = frozenset()
         self.late_seconds = 0.0
