--- a/wasabidrum/decisions/inbound_rate_limit.py
+++ b/wasabidrum/decisions/inbound_rate_limit.py
@@ -23,7 +23,7 @@
 MIN_BYTES_PER_SECOND = 8_192.0
 
 
-class InboundPace:
+class InboundRateLimit:
     """The rate at which peers may send to one instance, adapted to the lateness of chunks."""
 
     __slots__ = ("_link_rate", "_rate")
--- a/wasabidrum/decisions/inbound_rate_limit_test.py
+++ b/wasabidrum/decisions/inbound_rate_limit_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .inbound_rate_limit import InboundPace
+from .inbound_rate_limit import InboundRateLimit
 
 CHUNK_BYTES = 49_152
 CHUNKS = 48
@@ -18,7 +18,7 @@
     Returns:
       The longest such wait after the first chunk, and the total time, in seconds.
     """
-    pace = InboundPace(SETTINGS_RATE)
+    pace = InboundRateLimit(SETTINGS_RATE)
     now = free_at = worst = 0.0
     for number in range(chunks):
         at_once = 1 if pace.narrow else AT_ONCE
@@ -51,7 +51,7 @@
 
     def test_recovery_of_a_link_is_detected(self) -> None:
         """Guards against an engine that stays without weights long after its link recovered."""
-        pace = InboundPace(SETTINGS_RATE)
+        pace = InboundRateLimit(SETTINGS_RATE)
         pace.record(CHUNK_BYTES, 2, 0.35, 3.0)
         self.assertTrue(pace.narrow)
         seconds = 0.0
@@ -61,7 +61,7 @@
         self.assertLess(seconds, 8.0)
 
     def test_rate_never_falls_to_zero(self) -> None:
-        pace = InboundPace(SETTINGS_RATE)
+        pace = InboundRateLimit(SETTINGS_RATE)
         for _ in range(100):
             pace.record(CHUNK_BYTES, 1, 1.0, 100.0)
         self.assertGreater(pace.rate, 0.0)
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -10,7 +10,7 @@
 from ..core.instance import InstanceRole
 from ..decisions.chunk_pacing import BYTES_PER_MEGABIT
 from ..decisions.chunk_peer_health import ChunkPeerHealth
-from ..decisions.inbound_rate_limit import InboundPace
+from ..decisions.inbound_rate_limit import InboundRateLimit
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -74,7 +74,7 @@
         self.late_seconds = 0.0
         self.revision = 0
         self._open = 0
-        self.pace = InboundPace(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
+        self.pace = InboundRateLimit(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
 
     def members(self) -> dict[str, MemberView]:
         """Returns the sidecars that are listed and the relays, by name."""
