--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -59,7 +59,7 @@
         record = self._records.get(name)
         return record is not None and now < record.skip_until
 
-    def begin_ask(self, name: str, now: float) -> None:
+    def record_request(self, name: str, now: float) -> None:
         """Records a request to a peer; a peer that failed before becomes half-open."""
         if record := self._records.get(name):
             record.skip_until = max(record.skip_until, now + HALF_OPEN_SECONDS)
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -19,10 +19,10 @@
     def test_all_requests_waiting_at_a_silent_peer_go_elsewhere(self) -> None:
         """Several chunks are requested from a suspended sidecar, and one request detects that it
         is silent. The others must not each wait until they have detected it themselves."""
-        self.evidence.begin_ask("peer", 0.0)
+        self.evidence.record_request("peer", 0.0)
         self.evidence.record_slow("peer", 1.0)
         self.assertTrue(self.evidence.silent("peer", 1.1))
-        self.evidence.begin_ask("peer", 1.0 + SLOW_PAUSE_SECONDS)
+        self.evidence.record_request("peer", 1.0 + SLOW_PAUSE_SECONDS)
         self.assertFalse(self.evidence.silent("peer", 1.1 + SLOW_PAUSE_SECONDS))
         self.evidence.record_answer("peer", True)
         self.assertFalse(self.evidence.avoided("peer", 1.2 + SLOW_PAUSE_SECONDS))
@@ -33,7 +33,7 @@
         now = 0.0
         for _ in range(WAIT_AFTER_SLOW_COUNT):
             self.assertFalse(self.evidence.deserves_patience("peer"))
-            self.evidence.begin_ask("peer", now)
+            self.evidence.record_request("peer", now)
             self.evidence.record_slow("peer", now + 1.0)
             # Other requests that waited at the same peer report it too; they count once.
             self.evidence.record_slow("peer", now + 1.0)
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -67,7 +67,7 @@
     def ask(self, name: str, peer: str, digest: str, probe: bool = False) -> bool:
         """Has one instance ask another for a chunk; returns whether it has the chunk now."""
         evidence = self.evidence[name]
-        evidence.begin_ask(peer, self.now)
+        evidence.record_request(peer, self.now)
         if peer not in self.alive or self.random.random() < self.loss:
             evidence.record_failure(peer, self.now)
             return False
@@ -219,7 +219,7 @@
         evidence.record_failure("peer", 0.0)
         self.assertTrue(evidence.avoided("peer", 1.0))
         self.assertFalse(evidence.avoided("peer", 2.5))
-        evidence.begin_ask("peer", 2.5)
+        evidence.record_request("peer", 2.5)
         self.assertTrue(evidence.avoided("peer", 2.6))
         evidence.record_failure("peer", 5.0)
         self.assertTrue(evidence.avoided("peer", 8.5))
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -118,7 +118,7 @@
             return None, None
         self._counts.asks += 1
         asked_at = self._now()
-        self.evidence.begin_ask(name, self._now())
+        self.evidence.record_request(name, self._now())
         holds_up = None if probe else functools.partial(self._holds_up, name, digest)
         self._open += not probe
         try:
