--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -71,7 +71,7 @@
         known = record is not None and now < record.skip_until
         return known and record.slow_count > 0 and not record.half_open
 
-    def deserves_patience(self, name: str) -> bool:
+    def should_wait_for(self, name: str) -> bool:
         """Returns whether requests wait for a peer even if it is slow to answer."""
         record = self._records.get(name)
         return record is not None and record.slow_count >= WAIT_AFTER_SLOW_COUNT
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -32,13 +32,13 @@
         If every request to it were aborted after a second, nobody would ever get the chunk."""
         now = 0.0
         for _ in range(WAIT_AFTER_SLOW_COUNT):
-            self.assertFalse(self.evidence.deserves_patience("peer"))
+            self.assertFalse(self.evidence.should_wait_for("peer"))
             self.evidence.record_request("peer", now)
             self.evidence.record_slow("peer", now + 1.0)
             # Other requests that waited at the same peer report it too; they count once.
             self.evidence.record_slow("peer", now + 1.0)
             now += 10.0
-        self.assertTrue(self.evidence.deserves_patience("peer"))
+        self.assertTrue(self.evidence.should_wait_for("peer"))
 
     def test_failures_of_the_own_link_are_discarded_for_a_limited_time(self) -> None:
         """A sidecar's own link is narrow, and all its requests fail. Counted against the peers,
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -169,7 +169,7 @@
             # The platform has taken it off its list, and it cannot be probed any more. The
             # request would wait for five seconds at one that nobody else asks.
             return True
-        if self.evidence.deserves_patience(name):
+        if self.evidence.should_wait_for(name):
             return False
         if self.evidence.silent(name, self._now()):
             return True
