--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -12,7 +12,7 @@
 
 INITIAL_BACKOFF_SECONDS = 2.0
 # A slow peer is asked again after this time: the load that made it slow may have gone.
-SLOW_PAUSE_SECONDS = 2.0
+SLOW_BACKOFF_SECONDS = 2.0
 CORRUPTION_BACKOFF_SECONDS = 30.0
 MAX_BACKOFF_SECONDS = 60.0
 LACK_TTL_SECONDS = 4.0
@@ -115,7 +115,7 @@
         if now >= record.skip_until or record.half_open:
             record.slow_count += 1
         record.half_open = False
-        record.skip_until = max(record.skip_until, now + SLOW_PAUSE_SECONDS)
+        record.skip_until = max(record.skip_until, now + SLOW_BACKOFF_SECONDS)
 
     def record_lack(self, name: str, digest: str, now: float) -> None:
         """Records that a peer neither holds nor expects a chunk."""
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -4,7 +4,7 @@
 
 from .chunk_peer_health import (
     MAX_DISCARDED_FAILURES,
-    SLOW_PAUSE_SECONDS,
+    SLOW_BACKOFF_SECONDS,
     WAIT_AFTER_SLOW_COUNT,
     ChunkPeerHealth,
 )
@@ -22,10 +22,10 @@
         self.evidence.record_request("peer", 0.0)
         self.evidence.record_slow("peer", 1.0)
         self.assertTrue(self.evidence.silent("peer", 1.1))
-        self.evidence.record_request("peer", 1.0 + SLOW_PAUSE_SECONDS)
-        self.assertFalse(self.evidence.silent("peer", 1.1 + SLOW_PAUSE_SECONDS))
+        self.evidence.record_request("peer", 1.0 + SLOW_BACKOFF_SECONDS)
+        self.assertFalse(self.evidence.silent("peer", 1.1 + SLOW_BACKOFF_SECONDS))
         self.evidence.record_answer("peer", True)
-        self.assertFalse(self.evidence.avoided("peer", 1.2 + SLOW_PAUSE_SECONDS))
+        self.assertFalse(self.evidence.avoided("peer", 1.2 + SLOW_BACKOFF_SECONDS))
 
     def test_peer_that_is_always_slow_is_waited_for_in_the_end(self) -> None:
         """The only holder of a chunk is behind a permanently slow link, and the origin is gone.
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -9,7 +9,7 @@
 from ..config.settings import Settings
 from ..core.errors import CodedError
 from ..decisions import chunk_source_choice
-from ..decisions.chunk_peer_health import SLOW_PAUSE_SECONDS
+from ..decisions.chunk_peer_health import SLOW_BACKOFF_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
 from ..decisions.chunk_source_choice import Asker, Step, StepKind
 from ..observe.event import Event
@@ -274,7 +274,7 @@
             if found or (self.spread and rounds < PROBE_ROUNDS_WHEN_SPREAD):
                 return content
             if rounds < ROUNDS_IN_DOUBT and self.asker.own_link_suspected():
-                await asyncio.sleep(SLOW_PAUSE_SECONDS)
+                await asyncio.sleep(SLOW_BACKOFF_SECONDS)
                 return None
         self.store.drawing.add(digest)
         began = self._now()
