--- a/wasabidrum/decisions/chunk_eviction.py
+++ b/wasabidrum/decisions/chunk_eviction.py
@@ -26,12 +26,12 @@
     size: int
     rank: int = 0
     wanted: bool = True
-    serves_left: int = 0
+    pending_children: int = 0
 
 
 def choose_victim(chunks: collections.abc.Iterable[HeldChunk]) -> HeldChunk:
     """Returns the chunk to evict first."""
     return max(
         chunks,
-        key=lambda held: (not held.wanted, held.serves_left <= 0, held.rank, held.digest),
+        key=lambda held: (not held.wanted, held.pending_children <= 0, held.rank, held.digest),
     )
--- a/wasabidrum/weights/chunk_store.py
+++ b/wasabidrum/weights/chunk_store.py
@@ -64,7 +64,7 @@
     def record_served(self, digest: str) -> None:
         """Records that one peer has fetched a chunk."""
         if held := self._held.get(digest):
-            held.serves_left -= 1
+            held.pending_children -= 1
 
     def wake(self, digest: str) -> None:
         """Has those who wait for a chunk look again."""
