--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -26,7 +26,7 @@
 PROBES_PER_ROUND = 8
 
 
-class StepKind(enum.Enum):
+class FetchStepKind(enum.Enum):
     """Where to get the chunk from."""
 
     ASK = "ask"
@@ -43,7 +43,7 @@
         names to fetch the chunk.
     """
 
-    kind: StepKind
+    kind: FetchStepKind
     peer: str = ""
     delay: float = 0.0
 
@@ -121,19 +121,19 @@
     order = order_with(plan, requester, index)
     parent = find_parent(order, requester.name, usable)
     if parent:
-        return Step(StepKind.ASK, parent)
+        return Step(FetchStepKind.ASK, parent)
     regions = plan.region_order(index)
     place = regions.index(requester.region) if requester.region in regions else len(regions)
     for region in reversed(regions[:place]):
         for name in plan.regions[region].order(index):
             if usable(name):
-                return Step(StepKind.ASK, name)
+                return Step(FetchStepKind.ASK, name)
     delay = DELAY_PER_PLACE_SECONDS * order.index(requester.name) + DELAY_PER_REGION_SECONDS * place
     if not requester.listed:
         # The list lags. A process that has just started may know no peers because it has
         # not read the list yet, and would fetch what they are about to deliver.
         delay = LONGEST_DELAY_SECONDS
-    return Step(StepKind.DRAW, delay=min(LONGEST_DELAY_SECONDS, delay))
+    return Step(FetchStepKind.DRAW, delay=min(LONGEST_DELAY_SECONDS, delay))
 
 
 def choose_probes(
@@ -170,7 +170,7 @@
     """
     names = plan.regions[requester.region].names
     ahead = [name for name in names[: names.index(requester.name)] if usable(name)]
-    return Step(StepKind.ASK, ahead[-1]) if ahead else Step(StepKind.DRAW)
+    return Step(FetchStepKind.ASK, ahead[-1]) if ahead else Step(FetchStepKind.DRAW)
 
 
 def count_children(plan: ChunkPlan, requester: Asker, index: int) -> int:
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -13,7 +13,7 @@
 from .chunk_pacing import LinkSchedule
 from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import RELAY_FANOUT, ChunkPlan
-from .chunk_source_choice import Asker, StepKind, find_holder
+from .chunk_source_choice import Asker, FetchStepKind, find_holder
 
 REGIONS = ("rift-a", "nbi-a", "msa-a")
 ROUND_SECONDS = 0.5
@@ -92,7 +92,7 @@
         index = plan.index_of(digest)
         usable = self.usable(name, digest)
         step = chunk_source_choice.find_step(plan, asker, index, usable)
-        if step.kind is StepKind.ASK:
+        if step.kind is FetchStepKind.ASK:
             self.ask(name, step.peer, digest)
             return
         evidence = self.evidence[name]
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -5,7 +5,7 @@
 from . import chunk_source_choice
 from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import ChunkPlan
-from .chunk_source_choice import Asker, StepKind
+from .chunk_source_choice import Asker, FetchStepKind
 from .peer_responsiveness import (
     LOOK_SECONDS,
     PROMPT_SECONDS,
@@ -146,5 +146,5 @@
                     for name, region in REGION_OF.items()
                     if name != lost
                 ]
-                origin_fetches = [step for step in steps if step.kind is StepKind.DRAW]
+                origin_fetches = [step for step in steps if step.kind is FetchStepKind.DRAW]
                 self.assertEqual(len(origin_fetches), 1)
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -11,7 +11,7 @@
 from ..decisions import chunk_source_choice
 from ..decisions.chunk_peer_health import SLOW_BACKOFF_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.chunk_source_choice import Asker, Step, StepKind
+from ..decisions.chunk_source_choice import Asker, FetchStepKind, Step
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -154,7 +154,7 @@
         while (content := self.store.get(digest)) is None:
             index = plan.index_of(digest)
             step = self._find_step(plan, index, digest)
-            if step.kind is StepKind.ASK:
+            if step.kind is FetchStepKind.ASK:
                 async with self._turn():
                     rate = self._inbound_rate(step.peer)
                     content, state = await self.asker.ask(step.peer, digest, self._patience(), rate)
@@ -242,15 +242,15 @@
         asker = self._asker(members)
         usable = self._usable(digest, members)
         if self._settings.weights_from == "origin":
-            return Step(StepKind.DRAW)
+            return Step(FetchStepKind.DRAW)
         if self._settings.weights_from == "chain":
             return chunk_source_choice.find_chain_step(plan, asker, usable)
         relay = chunk_source_choice.find_relay(plan, asker, index, usable)
         if relay:
-            return Step(StepKind.ASK, relay)
+            return Step(FetchStepKind.ASK, relay)
         holder = chunk_source_choice.find_holder(self.asker.holders, asker.name, digest, usable)
         if holder:
-            return Step(StepKind.ASK, holder)
+            return Step(FetchStepKind.ASK, holder)
         return chunk_source_choice.find_step(plan, asker, index, usable)
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
@@ -268,7 +268,7 @@
         plain = self._settings.weights_from != "peers"
         if not plain:
             await self._wait_before_draw(plan, step, rounds)
-            if self._find_step(plan, index, digest).kind is not StepKind.DRAW:
+            if self._find_step(plan, index, digest).kind is not FetchStepKind.DRAW:
                 return None
             found, content = await self._ask_holders(plan, index, digest, rounds)
             if found or (self.spread and rounds < PROBE_ROUNDS_WHEN_SPREAD):
