--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -21,7 +21,7 @@
 
 DELAY_PER_PLACE_SECONDS = 0.25
 DELAY_PER_REGION_SECONDS = 0.5
-LONGEST_DELAY_SECONDS = 3.0
+MAX_ORIGIN_DELAY_SECONDS = 3.0
 FIRST_ROUND_PROBES = 4
 PROBES_PER_ROUND = 8
 
@@ -132,8 +132,8 @@
     if not requester.listed:
         # The list lags. A process that has just started may know no peers because it has
         # not read the list yet, and would fetch what they are about to deliver.
-        delay = LONGEST_DELAY_SECONDS
-    return Step(FetchStepKind.DRAW, delay=min(LONGEST_DELAY_SECONDS, delay))
+        delay = MAX_ORIGIN_DELAY_SECONDS
+    return Step(FetchStepKind.DRAW, delay=min(MAX_ORIGIN_DELAY_SECONDS, delay))
 
 
 def choose_probes(
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -309,7 +309,7 @@
         else:
             # Once for the version and not for each chunk, or a fleet of which only this one
             # is left would wait for every chunk anew.
-            late = self._begun_at + chunk_source_choice.LONGEST_DELAY_SECONDS - self._now()
+            late = self._begun_at + chunk_source_choice.MAX_ORIGIN_DELAY_SECONDS - self._now()
             await asyncio.sleep(max(0.0, min(late, step.delay)))
 
     async def _ask_holders(
