--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -183,7 +183,7 @@
     return children + (1 if place == 0 and not last_region else 0)
 
 
-def rank_to_keep(plan: ChunkPlan, requester: Asker, digest: str) -> int:
+def retention_rank(plan: ChunkPlan, requester: Asker, digest: str) -> int:
     """Returns the requester's rank among the instances of its region that should keep a chunk."""
     region = plan.regions.get(requester.region)
     names = region.names if region else ()
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -204,7 +204,7 @@
         for name in plan.regions["rift-a"].names:
             asker = Asker(name, "rift-a")
             held = [
-                HeldChunk(digest, 1, chunk_source_choice.rank_to_keep(plan, asker, digest))
+                HeldChunk(digest, 1, chunk_source_choice.retention_rank(plan, asker, digest))
                 for digest in chunks
             ]
             while len(held) > 30:
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -255,7 +255,7 @@
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
         asker = self._asker(self.asker.members())
-        rank = chunk_source_choice.rank_to_keep(plan, asker, digest)
+        rank = chunk_source_choice.retention_rank(plan, asker, digest)
         self.share_link(plan)
         self.store.add(
             digest, content, rank, chunk_source_choice.count_children(plan, asker, index)
