--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -62,7 +62,7 @@
     listed: bool = True
 
 
-Usable = collections.abc.Callable[[str], bool]
+PeerPredicate = collections.abc.Callable[[str], bool]
 
 
 def order_with(plan: ChunkPlan, requester: Asker, index: int) -> list[str]:
@@ -74,13 +74,13 @@
     return order
 
 
-def find_parent(order: list[str], name: str, usable: Usable) -> str:
+def find_parent(order: list[str], name: str, usable: PeerPredicate) -> str:
     """Returns the peer that an instance asks in its region; empty if it is the first."""
     ahead = [other for other in order[: order.index(name)] if usable(other)]
     return ahead[(len(ahead) - 1) // TREE_FANOUT] if ahead else ""
 
 
-def find_relay(plan: ChunkPlan, requester: Asker, index: int, usable: Usable) -> str:
+def find_relay(plan: ChunkPlan, requester: Asker, index: int, usable: PeerPredicate) -> str:
     """Returns the relay in the requester's region to ask for a chunk, or an empty string.
 
     Relays ask the relays ahead of them. Instances beyond the first RELAY_FANOUT after the relays
@@ -98,7 +98,7 @@
 
 
 def find_holder(
-    holders: collections.abc.Iterable[str], name: str, digest: str, usable: Usable
+    holders: collections.abc.Iterable[str], name: str, digest: str, usable: PeerPredicate
 ) -> str:
     """Returns the holder of a version that an instance asks for a chunk, or an empty string.
 
@@ -112,7 +112,7 @@
     )
 
 
-def find_step(plan: ChunkPlan, requester: Asker, index: int, usable: Usable) -> Step:
+def find_step(plan: ChunkPlan, requester: Asker, index: int, usable: PeerPredicate) -> Step:
     """Returns the next step towards a chunk.
 
     Args:
@@ -137,7 +137,12 @@
 
 
 def choose_probes(
-    plan: ChunkPlan, requester: Asker, index: int, digest: str, usable: Usable, round_number: int
+    plan: ChunkPlan,
+    requester: Asker,
+    index: int,
+    digest: str,
+    usable: PeerPredicate,
+    round_number: int,
 ) -> list[str]:
     """Returns the peers to probe for a chunk, the likeliest holders first.
 
@@ -162,7 +167,7 @@
     return candidates[start : start + PROBES_PER_ROUND]
 
 
-def find_chain_step(plan: ChunkPlan, requester: Asker, usable: Usable) -> Step:
+def find_chain_step(plan: ChunkPlan, requester: Asker, usable: PeerPredicate) -> Step:
     """Returns the next step under the chain strategy, the baseline that benchmarks compare with.
 
     One instance per region fetches everything from the origin, and each of the others asks the
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -55,7 +55,7 @@
         self.origin_up = True
         self.origin_fetches: dict[str, int] = {}
 
-    def usable(self, name: str, digest: str) -> chunk_source_choice.Usable:
+    def usable(self, name: str, digest: str) -> chunk_source_choice.PeerPredicate:
         """Returns which peers one instance may ask for a chunk, by its own observations."""
         evidence = self.evidence[name]
         return lambda other: (
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -224,7 +224,9 @@
         # ask it for, and others would draw the same once more; so it stands last.
         return Asker(name, self._settings.region, self._known())
 
-    def _usable(self, digest: str, members: dict[str, MemberView]) -> chunk_source_choice.Usable:
+    def _usable(
+        self, digest: str, members: dict[str, MemberView]
+    ) -> chunk_source_choice.PeerPredicate:
         now = self._now()
 
         def usable(name: str) -> bool:
