--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -57,7 +57,7 @@
         self._suspected_at = -SUSPICION_SECONDS
         self._origin_is_slow = False
 
-    def note_round(self, answers: AnswerTimes, elapsed: float, now: float) -> None:
+    def record_round(self, answers: AnswerTimes, elapsed: float, now: float) -> None:
         """Records the outcome of probes that were sent together."""
         for name, seconds in answers.items():
             if seconds is not None:
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -44,7 +44,7 @@
         elapsed = min(PROBE_TIMEOUT_SECONDS, min(self.answer_seconds.values()) + PROMPT_SECONDS)
         answers = {n: s if s <= elapsed else None for n, s in self.answer_seconds.items()}
         self.now += elapsed
-        self.responsiveness.note_round(answers, elapsed, self.now)
+        self.responsiveness.record_round(answers, elapsed, self.now)
         silent = set(find_silent(answers, elapsed))
         for name in silent:
             self.evidence.record_slow(name, self.now)
@@ -123,7 +123,7 @@
         responsiveness = PeerResponsiveness()
         others = list(REGION_OF)
         self.assertEqual(len(responsiveness.choose_witnesses("side-1", others)), REFERENCE_PEERS)
-        responsiveness.note_round({"side-2": 0.02}, 0.02, 5.0)
+        responsiveness.record_round({"side-2": 0.02}, 0.02, 5.0)
         self.assertEqual(responsiveness.choose_witnesses("side-1", others)[0], "side-2")
 
 
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_watch.py
@@ -124,7 +124,7 @@
         finally:
             probes.end()
         now = asyncio.get_running_loop().time()
-        self.responsiveness.note_round(probes.answers, probes.elapsed, now)
+        self.responsiveness.record_round(probes.answers, probes.elapsed, now)
         for name in silent:
             self._on_held_up(name, digest)
         return probes, silent
