--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -84,7 +84,7 @@
         """Returns whether all of several peers answered late recently, and the origin did too."""
         return self._origin_is_slow and now - self._suspected_at < SUSPICION_SECONDS
 
-    def choose_witnesses(self, name: str, others: collections.abc.Iterable[str]) -> list[str]:
+    def choose_reference_peers(self, name: str, others: collections.abc.Iterable[str]) -> list[str]:
         """Returns the peers to probe with a peer, to tell its silence from a slow own link."""
         others = [other for other in others if other != name]
         # Those that answered most recently are the likeliest to answer again.
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -122,9 +122,11 @@
     def test_peer_that_answered_last_is_chosen_as_reference(self) -> None:
         responsiveness = PeerResponsiveness()
         others = list(REGION_OF)
-        self.assertEqual(len(responsiveness.choose_witnesses("side-1", others)), REFERENCE_PEERS)
+        self.assertEqual(
+            len(responsiveness.choose_reference_peers("side-1", others)), REFERENCE_PEERS
+        )
         responsiveness.record_round({"side-2": 0.02}, 0.02, 5.0)
-        self.assertEqual(responsiveness.choose_witnesses("side-1", others)[0], "side-2")
+        self.assertEqual(responsiveness.choose_reference_peers("side-1", others)[0], "side-2")
 
 
 class SkippedPeerCostTest(unittest.TestCase):
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_watch.py
@@ -112,7 +112,7 @@
         return [probes.read_state(name) for name in names]
 
     async def _look(self, name: str, digest: str) -> bool:
-        witnesses = self.responsiveness.choose_witnesses(name, self._others())
+        witnesses = self.responsiveness.choose_reference_peers(name, self._others())
         _, silent = await self._play_round([name, *witnesses], digest)
         return name in silent
 
