--- a/wasabidrum/decisions/rollout_wave.py
+++ b/wasabidrum/decisions/rollout_wave.py
@@ -18,7 +18,7 @@
 from ..core.status import Status
 from .chunk_plan import rank_names
 
-FIRST_IN_LINE = 5
+CANARY_CANDIDATES = 5
 FAILURES_TO_STOP = 2
 SMALL_FLEET_ENDPOINTS = 4
 CANARY_TIMEOUT_SECONDS = 10.0
@@ -50,7 +50,7 @@
     other endpoint asks its parent in the binary tree, and further ancestors if the parent is dead.
     """
     place = order.index(name)
-    if place < FIRST_IN_LINE:
+    if place < CANARY_CANDIDATES:
         return order[:place]
     contacts = []
     while place > 0:
@@ -89,7 +89,7 @@
     if failures >= failures_to_stop(len(order)):
         return Proof.STOPPED
     timed_out = ready_seconds >= CANARY_TIMEOUT_SECONDS
-    if order.index(name) < FIRST_IN_LINE:
+    if order.index(name) < CANARY_CANDIDATES:
         pending = any(may_become_canary(status, version, timed_out) for status in answered)
         return Proof.WAIT if pending else Proof.TRY
     return Proof.TRY if not answered and timed_out else Proof.WAIT
--- a/wasabidrum/weights/rollout_gate.py
+++ b/wasabidrum/weights/rollout_gate.py
@@ -6,7 +6,7 @@
 from ..core.fleet import FleetRevision, ModelSpec
 from ..core.status import Status
 from ..decisions import rollout_wave
-from ..decisions.rollout_wave import FIRST_IN_LINE, Proof
+from ..decisions.rollout_wave import CANARY_CANDIDATES, Proof
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from .status_client import StatusClient
@@ -58,7 +58,7 @@
         if self.state.proven == version:
             return Proof.PROVEN
         contacts = rollout_wave.find_contacts(order, self._name)
-        if order.index(self._name) < FIRST_IN_LINE:
+        if order.index(self._name) < CANARY_CANDIDATES:
             statuses = await self._statuses.read(contacts)
         else:
             statuses = await self._statuses.read_first(contacts)
@@ -99,7 +99,7 @@
         """
         if self.state.stopped == version:
             return
-        others = [name for name in order[:FIRST_IN_LINE] if name != self._name]
+        others = [name for name in order[:CANARY_CANDIDATES] if name != self._name]
         heard = [
             status
             for status in self._current_ones(await self._statuses.read(others)).values()
@@ -116,7 +116,7 @@
 
     async def read_common_version(self, order: list[str]) -> str:
         """Returns the version that most of the first in line answer with, or empty."""
-        statuses = await self._statuses.read(order[:FIRST_IN_LINE])
+        statuses = await self._statuses.read(order[:CANARY_CANDIDATES])
         versions = [status.version for status in statuses.values() if status and status.version]
         return max(versions, key=versions.count, default="")
 
