--- a/wasabidrum/decisions/switch_turns.py
+++ b/wasabidrum/decisions/switch_turns.py
@@ -51,7 +51,7 @@
     return max(0.0, min(turn * TURN_SECONDS, left))
 
 
-def ends_runs_early(turn: int, answering: int, share: float, elapsed: float) -> bool:
+def should_drain_early(turn: int, answering: int, share: float, elapsed: float) -> bool:
     """Returns whether an engine stops accepting requests before its weights are complete.
 
     Args:
--- a/wasabidrum/decisions/switch_turns_test.py
+++ b/wasabidrum/decisions/switch_turns_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .switch_turns import EARLY_SECONDS, ends_runs_early, seconds_until_turn, turn_of
+from .switch_turns import EARLY_SECONDS, seconds_until_turn, should_drain_early, turn_of
 from .version_floor import PLACE_MARGIN_SECONDS
 
 REGIONS = ("north", "east", "south")
@@ -36,12 +36,12 @@
 
     def test_running_requests_end_while_the_last_pieces_arrive(self) -> None:
         """An engine that is ordered with all its slots taken is unavailable two seconds longer."""
-        self.assertTrue(ends_runs_early(0, 10, 0.8, 4.0))
-        self.assertFalse(ends_runs_early(0, 10, 0.5, 2.6))
+        self.assertTrue(should_drain_early(0, 10, 0.8, 4.0))
+        self.assertFalse(should_drain_early(0, 10, 0.5, 2.6))
 
     def test_only_engine_and_engines_of_the_second_turn_do_not_drain_early(self) -> None:
-        self.assertFalse(ends_runs_early(0, 1, 0.9, 4.0))
-        self.assertFalse(ends_runs_early(1, 10, 0.9, 4.0))
+        self.assertFalse(should_drain_early(0, 1, 0.9, 4.0))
+        self.assertFalse(should_drain_early(1, 10, 0.9, 4.0))
 
     def test_no_region_is_without_an_engine(self) -> None:
         for region in REGIONS:
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -8,8 +8,8 @@
 from ..core.errors import CodedError
 from ..decisions.switch_turns import (
     EARLY_SECONDS,
-    ends_runs_early,
     seconds_until_turn,
+    should_drain_early,
     turn_of,
 )
 from ..decisions.version_choice import VersionChoice
@@ -196,7 +196,9 @@
         if not self._listed.named_for(staged.version) or self._listed.own not in answering:
             return
         loop = asyncio.get_running_loop()
-        while not ends_runs_early(turn, len(answering), staged.share, loop.time() - self._begun_at):
+        while not should_drain_early(
+            turn, len(answering), staged.share, loop.time() - self._begun_at
+        ):
             await asyncio.sleep(REPORT_SECONDS)
         self._set_switching(True)
         await asyncio.sleep(2.0 * EARLY_SECONDS)
