--- a/wasabidrum/decisions/switch_turns.py
+++ b/wasabidrum/decisions/switch_turns.py
@@ -23,7 +23,7 @@
 TURN_COUNT = 2
 # Most requests end within this time. An engine whose weights stall accepts requests again after
 # twice as long.
-EARLY_SECONDS = 1.2
+EARLY_DRAIN_SECONDS = 1.2
 
 
 def turn_of(version: int, own: str, region_of: collections.abc.Mapping[str, str]) -> int:
@@ -61,4 +61,4 @@
     """
     if turn or answering < TURN_COUNT or share <= 0.0:
         return False
-    return elapsed * (1.0 - share) / share <= EARLY_SECONDS
+    return elapsed * (1.0 - share) / share <= EARLY_DRAIN_SECONDS
--- a/wasabidrum/decisions/switch_turns_test.py
+++ b/wasabidrum/decisions/switch_turns_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .switch_turns import EARLY_SECONDS, seconds_until_turn, should_drain_early, turn_of
+from .switch_turns import EARLY_DRAIN_SECONDS, seconds_until_turn, should_drain_early, turn_of
 from .version_floor import PLACE_MARGIN_SECONDS
 
 REGIONS = ("north", "east", "south")
@@ -22,7 +22,7 @@
         for name in ENGINES:
             turn = turn_of(2, name, ENGINES)
             began = STAGED_AT + seconds_until_turn(turn, STAGED_AT, BOUND)
-            began -= 0.0 if turn else EARLY_SECONDS
+            began -= 0.0 if turn else EARLY_DRAIN_SECONDS
             old = at < began and at < BOUND - PLACE_MARGIN_SECONDS
             new = at >= began + AWAY_SECONDS
             count += old or new
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -7,7 +7,7 @@
 from ..core.engine_report import EngineReport, PieceList
 from ..core.errors import CodedError
 from ..decisions.switch_turns import (
-    EARLY_SECONDS,
+    EARLY_DRAIN_SECONDS,
     seconds_until_turn,
     should_drain_early,
     turn_of,
@@ -201,7 +201,7 @@
         ):
             await asyncio.sleep(REPORT_SECONDS)
         self._set_switching(True)
-        await asyncio.sleep(2.0 * EARLY_SECONDS)
+        await asyncio.sleep(2.0 * EARLY_DRAIN_SECONDS)
         # The weights have stalled meanwhile; others may be as badly off.
         if staged.share < 1.0:
             self._set_switching(False)
