--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -54,7 +54,7 @@
         self._lacking_until: dict[tuple[str, str], float] = {}
         self._discarded: dict[str, int] = {}
 
-    def avoided(self, name: str, now: float) -> bool:
+    def is_skipped(self, name: str, now: float) -> bool:
         """Returns whether a peer is to be skipped now."""
         record = self._records.get(name)
         return record is not None and now < record.skip_until
@@ -134,4 +134,4 @@
 
     def avoided_names(self, now: float) -> list[str]:
         """Returns the peers skipped now, for operators."""
-        return sorted(name for name in self._records if self.avoided(name, now))
+        return sorted(name for name in self._records if self.is_skipped(name, now))
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -25,7 +25,7 @@
         self.evidence.record_request("peer", 1.0 + SLOW_BACKOFF_SECONDS)
         self.assertFalse(self.evidence.silent("peer", 1.1 + SLOW_BACKOFF_SECONDS))
         self.evidence.record_answer("peer", True)
-        self.assertFalse(self.evidence.avoided("peer", 1.2 + SLOW_BACKOFF_SECONDS))
+        self.assertFalse(self.evidence.is_skipped("peer", 1.2 + SLOW_BACKOFF_SECONDS))
 
     def test_peer_that_is_always_slow_is_waited_for_in_the_end(self) -> None:
         """The only holder of a chunk is behind a permanently slow link, and the origin is gone.
@@ -47,7 +47,7 @@
         for _ in range(MAX_DISCARDED_FAILURES):
             self.evidence.record_slow("peer", 0.0)
             self.assertTrue(self.evidence.excuse("peer"))
-            self.assertFalse(self.evidence.avoided("peer", 0.1))
+            self.assertFalse(self.evidence.is_skipped("peer", 0.1))
         self.assertFalse(self.evidence.excuse("peer"))
         self.evidence.record_answer("peer", False)
         self.assertTrue(self.evidence.excuse("peer"))
@@ -55,4 +55,4 @@
     def test_corrupt_bytes_are_never_discarded(self) -> None:
         self.evidence.record_failure("peer", 0.0, corrupt=True)
         self.assertFalse(self.evidence.excuse("peer"))
-        self.assertTrue(self.evidence.avoided("peer", 1.0))
+        self.assertTrue(self.evidence.is_skipped("peer", 1.0))
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -60,7 +60,7 @@
         evidence = self.evidence[name]
         return lambda other: (
             other != name
-            and not evidence.avoided(other, self.now)
+            and not evidence.is_skipped(other, self.now)
             and not evidence.lacks(other, digest, self.now)
         )
 
@@ -97,7 +97,7 @@
             return
         evidence = self.evidence[name]
         likely = chunk_source_choice.choose_probes(
-            plan, asker, index, digest, lambda p: not evidence.avoided(p, self.now), probes
+            plan, asker, index, digest, lambda p: not evidence.is_skipped(p, self.now), probes
         )
         if any(self.ask(name, peer, digest, True) for peer in likely) or not self.origin_up:
             return
@@ -217,14 +217,14 @@
         stall."""
         evidence = ChunkPeerHealth()
         evidence.record_failure("peer", 0.0)
-        self.assertTrue(evidence.avoided("peer", 1.0))
-        self.assertFalse(evidence.avoided("peer", 2.5))
+        self.assertTrue(evidence.is_skipped("peer", 1.0))
+        self.assertFalse(evidence.is_skipped("peer", 2.5))
         evidence.record_request("peer", 2.5)
-        self.assertTrue(evidence.avoided("peer", 2.6))
+        self.assertTrue(evidence.is_skipped("peer", 2.6))
         evidence.record_failure("peer", 5.0)
-        self.assertTrue(evidence.avoided("peer", 8.5))
+        self.assertTrue(evidence.is_skipped("peer", 8.5))
         evidence.record_answer("peer", True)
-        self.assertFalse(evidence.avoided("peer", 8.5))
+        self.assertFalse(evidence.is_skipped("peer", 8.5))
 
     def test_reservations_on_a_link_follow_each_other(self) -> None:
         link = LinkSchedule()
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -71,7 +71,7 @@
         self.replay.answer_seconds["side-3"] = 0.01
         self.replay.now += 2.0
         self.assertEqual(self.replay.probe_all(), set())
-        self.assertFalse(self.replay.evidence.avoided("side-3", self.replay.now))
+        self.assertFalse(self.replay.evidence.is_skipped("side-3", self.replay.now))
 
     def test_two_peers_behind_narrow_links_are_both_skipped(self) -> None:
         """Two links of six have become narrow. The slow answers of one of the two peers must not
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -120,7 +120,7 @@
             name
             for name in region.carriers
             if name == self._settings.name
-            or (name in members and not self.asker.evidence.avoided(name, now))
+            or (name in members and not self.asker.evidence.is_skipped(name, now))
         ]
         # A stand-in for dead carriers is one of all, so all together keep within one share.
         mine = self._settings.name in region.carriers
@@ -141,7 +141,7 @@
         relays = region.relays if region is not None else ()
         now = self._now()
         usable = any(
-            name in self.asker.members() and not self.asker.evidence.avoided(name, now)
+            name in self.asker.members() and not self.asker.evidence.is_skipped(name, now)
             for name in relays
         )
         if usable and self._settings.name not in relays:
@@ -233,7 +233,7 @@
             return (
                 name in members
                 and name != self._settings.name
-                and not self.asker.evidence.avoided(name, now)
+                and not self.asker.evidence.is_skipped(name, now)
                 and not self.asker.evidence.lacks(name, digest, now)
             )
 
@@ -327,7 +327,7 @@
             asker,
             index,
             digest,
-            lambda name: name in members and not self.asker.evidence.avoided(name, now),
+            lambda name: name in members and not self.asker.evidence.is_skipped(name, now),
             rounds,
         )
         states = await self.asker.probe(names, digest)
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -161,7 +161,7 @@
         """Returns the peers against which nothing speaks now."""
         now = self._now()
         names = (name for name in self.members() if name != self._name)
-        return [name for name in names if not self.evidence.avoided(name, now)]
+        return [name for name in names if not self.evidence.is_skipped(name, now)]
 
     async def _holds_up(self, name: str, digest: str) -> bool:
         """Returns whether a request that waits at a peer is to go elsewhere."""
@@ -177,7 +177,7 @@
 
     def _record_held_up(self, name: str, digest: str) -> None:
         """Takes that a peer is silent while others answer."""
-        if not self.evidence.avoided(name, self._now()):
+        if not self.evidence.is_skipped(name, self._now()):
             self._log.write(Event.CHUNK_PEER_PASSED_OVER, peer=name, chunk=digest, code="held_up")
         self.evidence.record_slow(name, self._now())
 
@@ -192,7 +192,7 @@
                 # them, and the origin would be asked for the whole version once more.
                 return
             self._membership.report_failure(name)
-        known = self.evidence.avoided(name, self._now())
+        known = self.evidence.is_skipped(name, self._now())
         self.evidence.record_failure(name, self._now(), corrupt)
         if not known or corrupt:
             self._log.write(Event.CHUNK_PEER_PASSED_OVER, peer=name, chunk=digest, code=error.code)
