--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -132,6 +132,6 @@
         if record is not None and (gave_chunk or not record.corrupt):
             del self._records[name]
 
-    def avoided_names(self, now: float) -> list[str]:
+    def skipped_names(self, now: float) -> list[str]:
         """Returns the peers skipped now, for operators."""
         return sorted(name for name in self._records if self.is_skipped(name, now))
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -183,7 +183,7 @@
 
     def avoided_names(self) -> list[str]:
         """Returns the peers passed over now."""
-        return self.asker.evidence.avoided_names(self._now())
+        return self.asker.evidence.skipped_names(self._now())
 
     def _inbound_rate(self, peer: str) -> float:
         """Returns the bytes a second that a peer may send here; zero where it knows itself."""
