--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -65,7 +65,7 @@
             record.skip_until = max(record.skip_until, now + HALF_OPEN_SECONDS)
             record.half_open = True
 
-    def silent(self, name: str, now: float) -> bool:
+    def is_skipped_as_slow(self, name: str, now: float) -> bool:
         """Returns whether a peer is skipped now for being slow, with no request probing it."""
         record = self._records.get(name)
         known = record is not None and now < record.skip_until
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -21,9 +21,9 @@
         is silent. The others must not each wait until they have detected it themselves."""
         self.evidence.record_request("peer", 0.0)
         self.evidence.record_slow("peer", 1.0)
-        self.assertTrue(self.evidence.silent("peer", 1.1))
+        self.assertTrue(self.evidence.is_skipped_as_slow("peer", 1.1))
         self.evidence.record_request("peer", 1.0 + SLOW_BACKOFF_SECONDS)
-        self.assertFalse(self.evidence.silent("peer", 1.1 + SLOW_BACKOFF_SECONDS))
+        self.assertFalse(self.evidence.is_skipped_as_slow("peer", 1.1 + SLOW_BACKOFF_SECONDS))
         self.evidence.record_answer("peer", True)
         self.assertFalse(self.evidence.is_skipped("peer", 1.2 + SLOW_BACKOFF_SECONDS))
 
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -171,7 +171,7 @@
             return True
         if self.evidence.should_wait_for(name):
             return False
-        if self.evidence.silent(name, self._now()):
+        if self.evidence.is_skipped_as_slow(name, self._now()):
             return True
         return await self._watch.holds_up(name, digest)
 
