--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -93,7 +93,7 @@
         record.corrupt = record.corrupt or corrupt
         record.skip_until = now + backoff
 
-    def excuse(self, name: str) -> bool:
+    def discard_failures(self, name: str) -> bool:
         """Drops a peer's failures where the own link may have caused them.
 
         Returns:
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -46,13 +46,13 @@
         sidecar that is cut off would never turn to the origin."""
         for _ in range(MAX_DISCARDED_FAILURES):
             self.evidence.record_slow("peer", 0.0)
-            self.assertTrue(self.evidence.excuse("peer"))
+            self.assertTrue(self.evidence.discard_failures("peer"))
             self.assertFalse(self.evidence.is_skipped("peer", 0.1))
-        self.assertFalse(self.evidence.excuse("peer"))
+        self.assertFalse(self.evidence.discard_failures("peer"))
         self.evidence.record_answer("peer", False)
-        self.assertTrue(self.evidence.excuse("peer"))
+        self.assertTrue(self.evidence.discard_failures("peer"))
 
     def test_corrupt_bytes_are_never_discarded(self) -> None:
         self.evidence.record_failure("peer", 0.0, corrupt=True)
-        self.assertFalse(self.evidence.excuse("peer"))
+        self.assertFalse(self.evidence.discard_failures("peer"))
         self.assertTrue(self.evidence.is_skipped("peer", 1.0))
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -187,7 +187,7 @@
             self._counts.corrupt += 1
         else:
             self._counts.peer_failures += 1
-            if self.own_link_suspected() and self.evidence.excuse(name):
+            if self.own_link_suspected() and self.evidence.discard_failures(name):
                 # All peers would be passed over for ever longer, for what this link does to
                 # them, and the origin would be asked for the whole version once more.
                 return
