--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """The sidecar that needs a chunk.
 
     Attributes:
@@ -65,7 +65,7 @@
 PeerPredicate = collections.abc.Callable[[str], bool]
 
 
-def order_with(plan: ChunkPlan, requester: Asker, index: int) -> list[str]:
+def order_with(plan: ChunkPlan, requester: Requester, index: int) -> list[str]:
     """Returns a chunk's order in the requester's region, the requester included."""
     region = plan.regions.get(requester.region)
     order = list(region.order(index)) if region else []
@@ -80,7 +80,7 @@
     return ahead[(len(ahead) - 1) // TREE_FANOUT] if ahead else ""
 
 
-def find_relay(plan: ChunkPlan, requester: Asker, index: int, usable: PeerPredicate) -> str:
+def find_relay(plan: ChunkPlan, requester: Requester, index: int, usable: PeerPredicate) -> str:
     """Returns the relay in the requester's region to ask for a chunk, or an empty string.
 
     Relays ask the relays ahead of them. Instances beyond the first RELAY_FANOUT after the relays
@@ -112,7 +112,7 @@
     )
 
 
-def find_step(plan: ChunkPlan, requester: Asker, index: int, usable: PeerPredicate) -> Step:
+def find_step(plan: ChunkPlan, requester: Requester, index: int, usable: PeerPredicate) -> Step:
     """Returns the next step towards a chunk.
 
     Args:
@@ -138,7 +138,7 @@
 
 def choose_probes(
     plan: ChunkPlan,
-    requester: Asker,
+    requester: Requester,
     index: int,
     digest: str,
     usable: PeerPredicate,
@@ -167,7 +167,7 @@
     return candidates[start : start + PROBES_PER_ROUND]
 
 
-def find_chain_step(plan: ChunkPlan, requester: Asker, usable: PeerPredicate) -> Step:
+def find_chain_step(plan: ChunkPlan, requester: Requester, usable: PeerPredicate) -> Step:
     """Returns the next step under the chain strategy, the baseline that benchmarks compare with.
 
     One instance per region fetches everything from the origin, and each of the others asks the
@@ -178,7 +178,7 @@
     return Step(FetchStepKind.ASK, ahead[-1]) if ahead else Step(FetchStepKind.DRAW)
 
 
-def count_children(plan: ChunkPlan, requester: Asker, index: int) -> int:
+def count_children(plan: ChunkPlan, requester: Requester, index: int) -> int:
     """Returns how many peers ask this sidecar for a chunk under the plan."""
     order = order_with(plan, requester, index)
     place = order.index(requester.name)
@@ -188,7 +188,7 @@
     return children + (1 if place == 0 and not last_region else 0)
 
 
-def retention_rank(plan: ChunkPlan, requester: Asker, digest: str) -> int:
+def retention_rank(plan: ChunkPlan, requester: Requester, digest: str) -> int:
     """Returns the requester's rank among the instances of its region that should keep a chunk."""
     region = plan.regions.get(requester.region)
     names = region.names if region else ()
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -13,7 +13,7 @@
 from .chunk_pacing import LinkSchedule
 from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import RELAY_FANOUT, ChunkPlan
-from .chunk_source_choice import Asker, FetchStepKind, find_holder
+from .chunk_source_choice import FetchStepKind, Requester, find_holder
 
 REGIONS = ("rift-a", "nbi-a", "msa-a")
 ROUND_SECONDS = 0.5
@@ -88,7 +88,7 @@
     def step(self, name: str, digest: str, probes: int) -> None:
         """Has one instance take its next step towards one chunk."""
         plan = self.plans[self.wanted]
-        asker = Asker(name, self.regions[name])
+        asker = Requester(name, self.regions[name])
         index = plan.index_of(digest)
         usable = self.usable(name, digest)
         step = chunk_source_choice.find_step(plan, asker, index, usable)
@@ -202,7 +202,7 @@
         plan = ChunkPlan("root", tuple(chunks), {f"w{i}": "rift-a" for i in range(9)})
         kept: set[str] = set()
         for name in plan.regions["rift-a"].names:
-            asker = Asker(name, "rift-a")
+            asker = Requester(name, "rift-a")
             held = [
                 HeldChunk(digest, 1, chunk_source_choice.retention_rank(plan, asker, digest))
                 for digest in chunks
@@ -271,7 +271,7 @@
     def test_every_sidecar_asks_a_relay_of_its_region(self) -> None:
         """Sidecars that also send a copy to others would wait for the busiest link among them."""
         for name, region in self.regions.items():
-            asker = Asker(name, region)
+            asker = Requester(name, region)
             for index in range(len(self.chunks)):
                 asked = chunk_source_choice.find_relay(self.plan, asker, index, lambda other: True)
                 self.assertEqual(self.relays[asked], region)
@@ -285,7 +285,7 @@
 
     def test_dead_relay_is_skipped_and_without_relays_the_tree_is_used(self) -> None:
         name, region = next(iter(self.regions.items()))
-        asker = Asker(name, region)
+        asker = Requester(name, region)
         near = [relay for relay, where in self.relays.items() if where == region]
         for dead in near:
             asked = chunk_source_choice.find_relay(
@@ -306,7 +306,7 @@
         regions = {f"w{i}": "rift-a" for i in range(40)}
         plan = ChunkPlan("root", self.chunks, regions, relays={"r0": "rift-a"})
         asked = [
-            chunk_source_choice.find_relay(plan, Asker(name, "rift-a"), 0, lambda other: True)
+            chunk_source_choice.find_relay(plan, Requester(name, "rift-a"), 0, lambda other: True)
             for name in regions
         ]
         self.assertEqual(asked.count("r0"), RELAY_FANOUT)
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -5,7 +5,7 @@
 from . import chunk_source_choice
 from .chunk_peer_health import ChunkPeerHealth
 from .chunk_plan import ChunkPlan
-from .chunk_source_choice import Asker, FetchStepKind
+from .chunk_source_choice import FetchStepKind, Requester
 from .peer_responsiveness import (
     LOOK_SECONDS,
     PROMPT_SECONDS,
@@ -143,7 +143,7 @@
             for index in part:
                 steps = [
                     chunk_source_choice.find_step(
-                        plan, Asker(name, region), index, lambda n, lost=lost: n != lost
+                        plan, Requester(name, region), index, lambda n, lost=lost: n != lost
                     )
                     for name, region in REGION_OF.items()
                     if name != lost
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -11,7 +11,7 @@
 from ..decisions import chunk_source_choice
 from ..decisions.chunk_peer_health import SLOW_BACKOFF_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.chunk_source_choice import Asker, FetchStepKind, Step
+from ..decisions.chunk_source_choice import FetchStepKind, Requester, Step
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -218,11 +218,11 @@
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _asker(self, members: dict[str, MemberView]) -> Asker:
+    def _asker(self, members: dict[str, MemberView]) -> Requester:
         name = self._settings.name
         # Nobody finds an instance that the lists of others lack. What it drew nobody would
         # ask it for, and others would draw the same once more; so it stands last.
-        return Asker(name, self._settings.region, self._known())
+        return Requester(name, self._settings.region, self._known())
 
     def _usable(
         self, digest: str, members: dict[str, MemberView]
