--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -29,7 +29,7 @@
 class FetchStepKind(enum.Enum):
     """Where to get the chunk from."""
 
-    ASK = "ask"
+    FROM_PEER = "ask"
     DRAW = "draw"
 
 
@@ -121,13 +121,13 @@
     order = order_with(plan, requester, index)
     parent = find_parent(order, requester.name, usable)
     if parent:
-        return Step(FetchStepKind.ASK, parent)
+        return Step(FetchStepKind.FROM_PEER, parent)
     regions = plan.region_order(index)
     place = regions.index(requester.region) if requester.region in regions else len(regions)
     for region in reversed(regions[:place]):
         for name in plan.regions[region].order(index):
             if usable(name):
-                return Step(FetchStepKind.ASK, name)
+                return Step(FetchStepKind.FROM_PEER, name)
     delay = DELAY_PER_PLACE_SECONDS * order.index(requester.name) + DELAY_PER_REGION_SECONDS * place
     if not requester.listed:
         # The list lags. A process that has just started may know no peers because it has
@@ -175,7 +175,7 @@
     """
     names = plan.regions[requester.region].names
     ahead = [name for name in names[: names.index(requester.name)] if usable(name)]
-    return Step(FetchStepKind.ASK, ahead[-1]) if ahead else Step(FetchStepKind.DRAW)
+    return Step(FetchStepKind.FROM_PEER, ahead[-1]) if ahead else Step(FetchStepKind.DRAW)
 
 
 def count_children(plan: ChunkPlan, requester: Requester, index: int) -> int:
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -92,7 +92,7 @@
         index = plan.index_of(digest)
         usable = self.usable(name, digest)
         step = chunk_source_choice.find_step(plan, asker, index, usable)
-        if step.kind is FetchStepKind.ASK:
+        if step.kind is FetchStepKind.FROM_PEER:
             self.ask(name, step.peer, digest)
             return
         evidence = self.evidence[name]
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -154,7 +154,7 @@
         while (content := self.store.get(digest)) is None:
             index = plan.index_of(digest)
             step = self._find_step(plan, index, digest)
-            if step.kind is FetchStepKind.ASK:
+            if step.kind is FetchStepKind.FROM_PEER:
                 async with self._turn():
                     rate = self._inbound_rate(step.peer)
                     content, state = await self.asker.ask(step.peer, digest, self._patience(), rate)
@@ -249,10 +249,10 @@
             return chunk_source_choice.find_chain_step(plan, asker, usable)
         relay = chunk_source_choice.find_relay(plan, asker, index, usable)
         if relay:
-            return Step(FetchStepKind.ASK, relay)
+            return Step(FetchStepKind.FROM_PEER, relay)
         holder = chunk_source_choice.find_holder(self.asker.holders, asker.name, digest, usable)
         if holder:
-            return Step(FetchStepKind.ASK, holder)
+            return Step(FetchStepKind.FROM_PEER, holder)
         return chunk_source_choice.find_step(plan, asker, index, usable)
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
