--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -30,7 +30,7 @@
     """Where to get the chunk from."""
 
     FROM_PEER = "ask"
-    DRAW = "draw"
+    FROM_ORIGIN = "draw"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
         # The list lags. A process that has just started may know no peers because it has
         # not read the list yet, and would fetch what they are about to deliver.
         delay = MAX_ORIGIN_DELAY_SECONDS
-    return Step(FetchStepKind.DRAW, delay=min(MAX_ORIGIN_DELAY_SECONDS, delay))
+    return Step(FetchStepKind.FROM_ORIGIN, delay=min(MAX_ORIGIN_DELAY_SECONDS, delay))
 
 
 def choose_probes(
@@ -175,7 +175,7 @@
     """
     names = plan.regions[requester.region].names
     ahead = [name for name in names[: names.index(requester.name)] if usable(name)]
-    return Step(FetchStepKind.FROM_PEER, ahead[-1]) if ahead else Step(FetchStepKind.DRAW)
+    return Step(FetchStepKind.FROM_PEER, ahead[-1]) if ahead else Step(FetchStepKind.FROM_ORIGIN)
 
 
 def count_children(plan: ChunkPlan, requester: Requester, index: int) -> int:
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -148,5 +148,5 @@
                     for name, region in REGION_OF.items()
                     if name != lost
                 ]
-                origin_fetches = [step for step in steps if step.kind is FetchStepKind.DRAW]
+                origin_fetches = [step for step in steps if step.kind is FetchStepKind.FROM_ORIGIN]
                 self.assertEqual(len(origin_fetches), 1)
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -244,7 +244,7 @@
         asker = self._asker(members)
         usable = self._usable(digest, members)
         if self._settings.weights_from == "origin":
-            return Step(FetchStepKind.DRAW)
+            return Step(FetchStepKind.FROM_ORIGIN)
         if self._settings.weights_from == "chain":
             return chunk_source_choice.find_chain_step(plan, asker, usable)
         relay = chunk_source_choice.find_relay(plan, asker, index, usable)
@@ -270,7 +270,7 @@
         plain = self._settings.weights_from != "peers"
         if not plain:
             await self._wait_before_draw(plan, step, rounds)
-            if self._find_step(plan, index, digest).kind is not FetchStepKind.DRAW:
+            if self._find_step(plan, index, digest).kind is not FetchStepKind.FROM_ORIGIN:
                 return None
             found, content = await self._ask_holders(plan, index, digest, rounds)
             if found or (self.spread and rounds < PROBE_ROUNDS_WHEN_SPREAD):
