--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class FetchStep:
     """The next step towards a chunk.
 
     Attributes:
@@ -112,7 +112,9 @@
     )
 
 
-def find_step(plan: ChunkPlan, requester: Requester, index: int, usable: PeerPredicate) -> Step:
+def find_step(
+    plan: ChunkPlan, requester: Requester, index: int, usable: PeerPredicate
+) -> FetchStep:
     """Returns the next step towards a chunk.
 
     Args:
@@ -121,19 +123,19 @@
     order = order_with(plan, requester, index)
     parent = find_parent(order, requester.name, usable)
     if parent:
-        return Step(FetchStepKind.FROM_PEER, parent)
+        return FetchStep(FetchStepKind.FROM_PEER, parent)
     regions = plan.region_order(index)
     place = regions.index(requester.region) if requester.region in regions else len(regions)
     for region in reversed(regions[:place]):
         for name in plan.regions[region].order(index):
             if usable(name):
-                return Step(FetchStepKind.FROM_PEER, name)
+                return FetchStep(FetchStepKind.FROM_PEER, name)
     delay = DELAY_PER_PLACE_SECONDS * order.index(requester.name) + DELAY_PER_REGION_SECONDS * place
     if not requester.listed:
         # The list lags. A process that has just started may know no peers because it has
         # not read the list yet, and would fetch what they are about to deliver.
         delay = MAX_ORIGIN_DELAY_SECONDS
-    return Step(FetchStepKind.FROM_ORIGIN, delay=min(MAX_ORIGIN_DELAY_SECONDS, delay))
+    return FetchStep(FetchStepKind.FROM_ORIGIN, delay=min(MAX_ORIGIN_DELAY_SECONDS, delay))
 
 
 def choose_probes(
@@ -167,7 +169,7 @@
     return candidates[start : start + PROBES_PER_ROUND]
 
 
-def find_chain_step(plan: ChunkPlan, requester: Requester, usable: PeerPredicate) -> Step:
+def find_chain_step(plan: ChunkPlan, requester: Requester, usable: PeerPredicate) -> FetchStep:
     """Returns the next step under the chain strategy, the baseline that benchmarks compare with.
 
     One instance per region fetches everything from the origin, and each of the others asks the
@@ -175,7 +177,11 @@
     """
     names = plan.regions[requester.region].names
     ahead = [name for name in names[: names.index(requester.name)] if usable(name)]
-    return Step(FetchStepKind.FROM_PEER, ahead[-1]) if ahead else Step(FetchStepKind.FROM_ORIGIN)
+    return (
+        FetchStep(FetchStepKind.FROM_PEER, ahead[-1])
+        if ahead
+        else FetchStep(FetchStepKind.FROM_ORIGIN)
+    )
 
 
 def count_children(plan: ChunkPlan, requester: Requester, index: int) -> int:
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -11,7 +11,7 @@
 from ..decisions import chunk_source_choice
 from ..decisions.chunk_peer_health import SLOW_BACKOFF_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.chunk_source_choice import FetchStepKind, Requester, Step
+from ..decisions.chunk_source_choice import FetchStep, FetchStepKind, Requester
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -239,20 +239,20 @@
 
         return usable
 
-    def _find_step(self, plan: ChunkPlan, index: int, digest: str) -> Step:
+    def _find_step(self, plan: ChunkPlan, index: int, digest: str) -> FetchStep:
         members = self.asker.members()
         asker = self._asker(members)
         usable = self._usable(digest, members)
         if self._settings.weights_from == "origin":
-            return Step(FetchStepKind.FROM_ORIGIN)
+            return FetchStep(FetchStepKind.FROM_ORIGIN)
         if self._settings.weights_from == "chain":
             return chunk_source_choice.find_chain_step(plan, asker, usable)
         relay = chunk_source_choice.find_relay(plan, asker, index, usable)
         if relay:
-            return Step(FetchStepKind.FROM_PEER, relay)
+            return FetchStep(FetchStepKind.FROM_PEER, relay)
         holder = chunk_source_choice.find_holder(self.asker.holders, asker.name, digest, usable)
         if holder:
-            return Step(FetchStepKind.FROM_PEER, holder)
+            return FetchStep(FetchStepKind.FROM_PEER, holder)
         return chunk_source_choice.find_step(plan, asker, index, usable)
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
@@ -264,7 +264,7 @@
         )
 
     async def _bring_in(
-        self, plan: ChunkPlan, index: int, digest: str, step: Step, rounds: int
+        self, plan: ChunkPlan, index: int, digest: str, step: FetchStep, rounds: int
     ) -> bytes | None:
         """Brings a chunk in where nobody ahead can give it; None means to look again."""
         plain = self._settings.weights_from != "peers"
@@ -297,7 +297,7 @@
             self._log.write(Event.CHUNK_DRAWN, chunk=digest, place=index, bytes=len(content))
         return content
 
-    async def _wait_before_draw(self, plan: ChunkPlan, step: Step, rounds: int) -> None:
+    async def _wait_before_draw(self, plan: ChunkPlan, step: FetchStep, rounds: int) -> None:
         """Waits for the peers behind this one to ask, which shows that they know of it."""
         alone = sum(len(region.names) for region in plan.regions.values()) == 1
         patience = self._begun_at + KNOWN_WITHIN_SECONDS - self._now()
