--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -7,9 +7,10 @@
 that waits for it would delay what its sender is about to fetch from the origin.
 
 A healthy peer answers a probe at once, whatever it waits for. So the peers at which this sidecar
-waits are probed together with some reference peers, and a peer that is silent for PROMPT_SECONDS
-longer than the fastest took is skipped. The comparison is relative because all answers are late
-while this sidecar's own link is busy; skipping all peers for that would cost the origin a copy.
+waits are probed together with some reference peers, and a peer that is silent for longer
+than the fastest took by ANSWER_MARGIN_SECONDS is skipped. The comparison is relative because all
+answers are late while this sidecar's own link is busy; skipping all peers for that would cost the
+origin a copy.
 
 Cost for the origin: the chunks that a silent peer had fetched are fetched once more, by one other
 sidecar. That is a sixth of a copy where one of six is lost, and a third where two are; nothing
@@ -19,7 +20,7 @@
 import collections.abc
 
 # How much longer than the fastest peer of its round a peer may take to answer a probe.
-PROMPT_SECONDS = 0.5
+ANSWER_MARGIN_SECONDS = 0.5
 # How long an answer counts, before the peer is probed again.
 LOOK_SECONDS = 1.0
 # Reference peers that are probed along with a peer at which this sidecar waits; two, because one
@@ -42,7 +43,7 @@
       elapsed: The seconds since the probes were sent.
     """
     taken = [seconds for seconds in answers.values() if seconds is not None]
-    if not taken or elapsed < min(taken) + PROMPT_SECONDS:
+    if not taken or elapsed < min(taken) + ANSWER_MARGIN_SECONDS:
         return []
     return [name for name, seconds in answers.items() if seconds is None]
 
@@ -63,7 +64,7 @@
             if seconds is not None:
                 self._answered_at[name] = now - elapsed + seconds
         fastest = min((s for s in answers.values() if s is not None), default=elapsed)
-        if fastest < PROMPT_SECONDS:
+        if fastest < ANSWER_MARGIN_SECONDS:
             self._suspected_at = now - SUSPICION_SECONDS
         elif fastest >= SLOW_LINK_SECONDS and len(answers) >= REFERENCE_PEERS:
             self._suspected_at = now
@@ -74,7 +75,7 @@
         A sidecar that is cut off from all its peers finds them silent too, and can reach only
         the origin.
         """
-        self._origin_is_slow = seconds >= PROMPT_SECONDS
+        self._origin_is_slow = seconds >= ANSWER_MARGIN_SECONDS
 
     def answered_lately(self, name: str, now: float) -> bool:
         """Returns whether a peer has answered so recently that it need not be probed."""
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -7,8 +7,8 @@
 from .chunk_plan import ChunkPlan
 from .chunk_source_choice import FetchStepKind, Requester
 from .peer_responsiveness import (
+    ANSWER_MARGIN_SECONDS,
     LOOK_SECONDS,
-    PROMPT_SECONDS,
     REFERENCE_PEERS,
     PeerResponsiveness,
     find_silent,
@@ -41,7 +41,9 @@
 
     def probe_all(self) -> set[str]:
         """Probes all peers once; returns those that are skipped because they are silent."""
-        elapsed = min(PROBE_TIMEOUT_SECONDS, min(self.answer_seconds.values()) + PROMPT_SECONDS)
+        elapsed = min(
+            PROBE_TIMEOUT_SECONDS, min(self.answer_seconds.values()) + ANSWER_MARGIN_SECONDS
+        )
         answers = {n: s if s <= elapsed else None for n, s in self.answer_seconds.items()}
         self.now += elapsed
         self.responsiveness.record_round(answers, elapsed, self.now)
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -8,7 +8,7 @@
 
 from ..core.digest import digest_of
 from ..core.errors import CodedError
-from ..decisions.peer_responsiveness import LOOK_SECONDS, PROMPT_SECONDS
+from ..decisions.peer_responsiveness import ANSWER_MARGIN_SECONDS, LOOK_SECONDS
 from ..wire import headers, http_client
 from .chunk_state import ChunkState
 
@@ -51,7 +51,7 @@
         self._ends_at = self._moves_until + LONGEST_REQUEST_SECONDS
         self.given_up = False
         # Before the head comes, a look of half a second is due after the first half.
-        self._idle_from = self._loop.time() + PROMPT_SECONDS - LOOK_SECONDS
+        self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - LOOK_SECONDS
         self._due_at = self._loop.time()
         self.sending_seconds = 0.0
 
@@ -161,7 +161,7 @@
             while not answered.done():
                 if download.patience <= 0:
                     raise CodedError("peer_stalled", f"{url} stopped sending", 503)
-                timeout = min(max(0.01, download.patience), PROMPT_SECONDS)
+                timeout = min(max(0.01, download.patience), ANSWER_MARGIN_SECONDS)
                 began = asyncio.get_running_loop().time()
                 await asyncio.wait((answered,), timeout=timeout)
                 waited = asyncio.get_running_loop().time() - began
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 import collections.abc
 
-from ..decisions.peer_responsiveness import PROMPT_SECONDS, PeerResponsiveness, find_silent
+from ..decisions.peer_responsiveness import ANSWER_MARGIN_SECONDS, PeerResponsiveness, find_silent
 from .chunk_state import ChunkState
 
 Probe = collections.abc.Callable[[str, str], collections.abc.Awaitable[ChunkState | None]]
@@ -37,7 +37,7 @@
         pending = set(self._probes.values())
         while pending and all(seconds is None for seconds in self._answers.values()):
             _, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-        ends = self.elapsed + PROMPT_SECONDS
+        ends = self.elapsed + ANSWER_MARGIN_SECONDS
         # A wait may end a little before its time, and would then blame nobody.
         while pending and (left := ends - self.elapsed) > 0:
             _, pending = await asyncio.wait(pending, timeout=left)
