--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -22,7 +22,7 @@
 # How much longer than the fastest peer of its round a peer may take to answer a probe.
 ANSWER_MARGIN_SECONDS = 0.5
 # How long an answer counts, before the peer is probed again.
-LOOK_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 # Reference peers that are probed along with a peer at which this sidecar waits; two, because one
 # of them may be unresponsive as well.
 REFERENCE_PEERS = 2
@@ -79,7 +79,7 @@
 
     def answered_lately(self, name: str, now: float) -> bool:
         """Returns whether a peer has answered so recently that it need not be probed."""
-        return now - self._answered_at.get(name, -LOOK_SECONDS) < LOOK_SECONDS
+        return now - self._answered_at.get(name, -PROBE_INTERVAL_SECONDS) < PROBE_INTERVAL_SECONDS
 
     def own_link_suspected(self, now: float) -> bool:
         """Returns whether all of several peers answered late recently, and the origin did too."""
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -8,7 +8,7 @@
 from .chunk_source_choice import FetchStepKind, Requester
 from .peer_responsiveness import (
     ANSWER_MARGIN_SECONDS,
-    LOOK_SECONDS,
+    PROBE_INTERVAL_SECONDS,
     REFERENCE_PEERS,
     PeerResponsiveness,
     find_silent,
@@ -50,7 +50,7 @@
         silent = set(find_silent(answers, elapsed))
         for name in silent:
             self.evidence.record_slow(name, self.now)
-        self.now += LOOK_SECONDS
+        self.now += PROBE_INTERVAL_SECONDS
         return silent
 
 
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -8,7 +8,7 @@
 
 from ..core.digest import digest_of
 from ..core.errors import CodedError
-from ..decisions.peer_responsiveness import ANSWER_MARGIN_SECONDS, LOOK_SECONDS
+from ..decisions.peer_responsiveness import ANSWER_MARGIN_SECONDS, PROBE_INTERVAL_SECONDS
 from ..wire import headers, http_client
 from .chunk_state import ChunkState
 
@@ -51,7 +51,7 @@
         self._ends_at = self._moves_until + LONGEST_REQUEST_SECONDS
         self.given_up = False
         # Before the head comes, a look of half a second is due after the first half.
-        self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - LOOK_SECONDS
+        self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - PROBE_INTERVAL_SECONDS
         self._due_at = self._loop.time()
         self.sending_seconds = 0.0
 
@@ -68,7 +68,7 @@
     @property
     def idle(self) -> bool:
         """Whether nothing has come for a while, be it that the peer's turn is still to come."""
-        return self._loop.time() > self._idle_from + LOOK_SECONDS
+        return self._loop.time() > self._idle_from + PROBE_INTERVAL_SECONDS
 
     @property
     def content(self) -> bytes:
