--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -69,7 +69,7 @@
         elif fastest >= SLOW_LINK_SECONDS and len(answers) >= REFERENCE_PEERS:
             self._suspected_at = now
 
-    def record_draw(self, seconds: float) -> None:
+    def record_origin_fetch(self, seconds: float) -> None:
         """Records how long a fetch from the origin took; a fast one clears the own link.
 
         A sidecar that is cut off from all its peers finds them silent too, and can reach only
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -86,7 +86,7 @@
         """A sidecar's own link is narrow, and all answers arrive late. If it skipped all peers,
         it would fetch the whole version from the origin once more."""
         self.replay.answer_seconds = dict.fromkeys(self.replay.answer_seconds, 1.8)
-        self.replay.responsiveness.record_draw(1.3)
+        self.replay.responsiveness.record_origin_fetch(1.3)
         for _ in range(5):
             self.assertEqual(self.replay.probe_all(), set())
             self.assertTrue(self.is_own_link_suspected())
@@ -106,7 +106,7 @@
 
     def test_if_no_peer_answers_none_is_skipped(self) -> None:
         """The sidecar itself was suspended or is cut off."""
-        self.replay.responsiveness.record_draw(1.3)
+        self.replay.responsiveness.record_origin_fetch(1.3)
         self.replay.answer_seconds = dict.fromkeys(self.replay.answer_seconds, NEVER)
         self.assertEqual(self.replay.probe_all(), set())
         self.assertTrue(self.is_own_link_suspected())
@@ -117,7 +117,7 @@
         self.replay.answer_seconds = dict.fromkeys(self.replay.answer_seconds, NEVER)
         self.replay.probe_all()
         self.assertFalse(self.is_own_link_suspected())
-        self.replay.responsiveness.record_draw(0.1)
+        self.replay.responsiveness.record_origin_fetch(0.1)
         self.replay.probe_all()
         self.assertFalse(self.is_own_link_suspected())
 
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -90,7 +90,7 @@
 
     def record_draw(self, seconds: float) -> None:
         """Records how long a chunk took to come from the origin, or how long none came."""
-        self._watch.responsiveness.record_draw(seconds)
+        self._watch.responsiveness.record_origin_fetch(seconds)
 
     async def ask(
         self, name: str, digest: str, wait: float = ASK_WAIT_SECONDS, rate: float = 0.0
