--- a/wasabidrum/decisions/inbound_rate_limit.py
+++ b/wasabidrum/decisions/inbound_rate_limit.py
@@ -15,7 +15,7 @@
 LATE_SECONDS = 0.3
 # A chunk that is complete this soon after its last byte was sent has met no relevant queue: this
 # is a few times the latency between regions, and a slice of another chunk.
-PROMPT_SECONDS = 0.1
+ON_TIME_SECONDS = 0.1
 # Of the measured throughput. The rest drains the queue, and is left to requests.
 REDUCED_FRACTION = 0.6
 INCREASE_FACTOR = 1.6
@@ -56,7 +56,7 @@
           seconds: How long its sender took to send it.
           late: How many seconds after that it was complete.
         """
-        if late <= PROMPT_SECONDS:
+        if late <= ON_TIME_SECONDS:
             self._rate = min(self._link_rate, INCREASE_FACTOR * self._rate)
         elif late > LATE_SECONDS:
             throughput = at_once * size / (seconds + late)
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -5,7 +5,7 @@
 
 from ..core.manifest import Manifest, decode_manifest
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.inbound_rate_limit import PROMPT_SECONDS
+from ..decisions.inbound_rate_limit import ON_TIME_SECONDS
 from .distributor import Distributor
 
 # Chunks that this sidecar draws from the origin, at once: enough that the next is under
@@ -115,7 +115,7 @@
         """
         if self._asking is None or self._askers >= self._distributor.asks_at_once(self._plan):
             return
-        if self._distributor.late_seconds <= PROMPT_SECONDS:
+        if self._distributor.late_seconds <= ON_TIME_SECONDS:
             self._askers += 1
             self._start(self._group, self._asking, 1)
 
