--- a/wasabidrum/decisions/recent_lateness.py
+++ b/wasabidrum/decisions/recent_lateness.py
@@ -23,7 +23,7 @@
         self._worst = 0.0
         self._seen_at = float("-inf")
 
-    def take(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Records how much later than forecast a request began, or how late it is so far."""
         if seconds >= self.worst(now):
             self._worst = max(0.0, seconds)
--- a/wasabidrum/decisions/recent_lateness_test.py
+++ b/wasabidrum/decisions/recent_lateness_test.py
@@ -12,14 +12,14 @@
         """A request takes 2 s to reach its engine, and the next one no time, because the queue
         on the link was short for a moment. The one after that may take 2 s again."""
         lateness = RecentLateness()
-        lateness.take(2.0, 100.0)
-        lateness.take(0.1, 101.0)
+        lateness.record(2.0, 100.0)
+        lateness.record(0.1, 101.0)
         self.assertEqual(lateness.worst(102.0), 2.0)
         self.assertEqual(lateness.worst(100.0 + WINDOW_SECONDS + 0.1), 0.0)
 
     def test_request_that_begins_earlier_than_forecast_is_not_late(self) -> None:
         lateness = RecentLateness()
-        lateness.take(-0.3, 100.0)
+        lateness.record(-0.3, 100.0)
         self.assertEqual(lateness.worst(100.0), 0.0)
 
 
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -194,13 +194,13 @@
         """Records a request's first event, some seconds after it was placed."""
         now = asyncio.get_running_loop().time()
         placed.load.first_event(prompt_tokens, now)
-        placed.load.lateness.take(seconds - placed.seconds, now)
+        placed.load.lateness.record(seconds - placed.seconds, now)
         self.traffic(placed.endpoint.service).bias.take(placed.raw, seconds, now)
 
     def record_waiting(self, placed: Placed, placed_at: float) -> None:
         """Records that a request has not begun yet, which may be later than forecast."""
         now = asyncio.get_running_loop().time()
-        placed.load.lateness.take(now - placed_at - placed.seconds, now)
+        placed.load.lateness.record(now - placed_at - placed.seconds, now)
 
     def record_failure(self, placed: Placed, reason: str) -> None:
         """Records a failure that may be the endpoint's own."""
