--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -215,7 +215,7 @@
             return
         self._told.add(id(job))
         self._load(job, number).first_event(job.prompt, now)
-        self.entries[job.entry].bias.take(job.forecast, now - job.arrived, now)
+        self.entries[job.entry].bias.record(job.forecast, now - job.arrived, now)
 
     def _load(self, job: Job, number: int) -> EndpointLoad:
         return self.entries[job.entry].loads[self._endpoints[number].id]
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -56,8 +56,8 @@
         are right, and must not be refused for it."""
         bias = ForecastBias()
         for step in range(50):
-            bias.take(0.4, 0.6, step * 0.02)
-            bias.take(0.1, 0.1, step * 0.02)
+            bias.record(0.4, 0.6, step * 0.02)
+            bias.record(0.1, 0.1, step * 0.02)
         corrections = bias.corrections(1.0)
         self.assertAlmostEqual(corrections[length_class(0.1)], 0.0, delta=0.01)
         self.assertGreater(corrections[length_class(0.4)], 0.1)
@@ -65,7 +65,7 @@
     def test_engines_that_are_quicker_than_their_figures_are_sent_more(self) -> None:
         bias = ForecastBias()
         for step in range(50):
-            bias.take(0.4, 0.28, step * 0.02)
+            bias.record(0.4, 0.28, step * 0.02)
         self.assertLess(bias.corrections(1.0)[length_class(0.4)], -0.06)
 
     def test_a_correction_is_bounded_and_fades(self) -> None:
@@ -73,9 +73,9 @@
         refuse everything, see no first events, and never learn that the others work."""
         bias = ForecastBias()
         for _ in range(100):
-            bias.take(0.4, 60.0, 1.0)
+            bias.record(0.4, 60.0, 1.0)
         self.assertLessEqual(max(bias.corrections(1.0)), MAX_CORRECTION_SECONDS)
         self.assertLess(max(bias.corrections(9.0)), 0.01)
         for _ in range(100):
-            bias.take(0.1, -5.0, 10.0)
+            bias.record(0.1, -5.0, 10.0)
         self.assertGreaterEqual(min(bias.corrections(10.0)), MIN_CORRECTION_SECONDS)
--- a/wasabidrum/decisions/forecast_bias.py
+++ b/wasabidrum/decisions/forecast_bias.py
@@ -39,7 +39,7 @@
             for seconds, updated_at in zip(self._seconds, self._updated_at, strict=True)
         )
 
-    def take(self, forecast: float, seen: float, now: float) -> None:
+    def record(self, forecast: float, seen: float, now: float) -> None:
         """Records the observed time to a first event, and its forecast without correction."""
         index = length_class(forecast)
         before = self.corrections(now)[index]
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -195,7 +195,7 @@
         now = asyncio.get_running_loop().time()
         placed.load.first_event(prompt_tokens, now)
         placed.load.lateness.record(seconds - placed.seconds, now)
-        self.traffic(placed.endpoint.service).bias.take(placed.raw, seconds, now)
+        self.traffic(placed.endpoint.service).bias.record(placed.raw, seconds, now)
 
     def record_waiting(self, placed: Placed, placed_at: float) -> None:
         """Records that a request has not begun yet, which may be later than forecast."""
