--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -190,7 +190,7 @@
             return
         job.forecast = choice.raw
         choice.candidate.load.placed(prompt, now)
-        entry.rate.take(now)
+        entry.rate.record(now)
         place = self._endpoints.index(choice.candidate.endpoint)
         self._places[id(job)] = place
         engine = self._engines[place]
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -43,7 +43,7 @@
     def test_it_follows_a_steady_load_and_forgets_it(self) -> None:
         rate = SendRate()
         for step in range(400):
-            rate.take(step * 0.05)
+            rate.record(step * 0.05)
         self.assertAlmostEqual(rate.per_second(20.0), 20.0, delta=2.0)
         self.assertLess(rate.per_second(25.0), 0.5)
 
--- a/wasabidrum/decisions/send_rate.py
+++ b/wasabidrum/decisions/send_rate.py
@@ -14,7 +14,7 @@
         self._decayed_count = 0.0
         self._updated_at = 0.0
 
-    def take(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Counts one request."""
         self._decayed_count = self.per_second(now) * DECAY_SECONDS + 1.0
         self._updated_at = now
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -175,7 +175,7 @@
 
     def record_refusal(self, service: str) -> None:
         """Counts a request that no endpoint could take."""
-        self.traffic(service).refusals.take(asyncio.get_running_loop().time())
+        self.traffic(service).refusals.record(asyncio.get_running_loop().time())
 
     def traffic(self, service: str) -> ServiceTraffic:
         """Returns what this entry sends to a service."""
@@ -188,7 +188,7 @@
         """Counts a request that is sent to its endpoint."""
         now = asyncio.get_running_loop().time()
         placed.load.placed(prompt_tokens, now, placed.seconds)
-        self.traffic(placed.endpoint.service).rate.take(now)
+        self.traffic(placed.endpoint.service).rate.record(now)
 
     def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
         """Records a request's first event, some seconds after it was placed."""
