--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -84,7 +84,7 @@
         newest = max(self._named, key=lambda named: named.version)
         return max(0.0, now - newest.before)
 
-    def take(self, version: int, after: float, now: float) -> bool:
+    def add(self, version: int, after: float, now: float) -> bool:
         """Adds a version that was named; returns whether it is newer than all before.
 
         Args:
--- a/wasabidrum/decisions/version_floor_test.py
+++ b/wasabidrum/decisions/version_floor_test.py
@@ -15,10 +15,10 @@
 
     def setUp(self) -> None:
         self.floor = VersionFloor(8.0)
-        self.floor.take(1, 0.0, 0.0)
+        self.floor.add(1, 0.0, 0.0)
 
     def test_the_previous_version_is_allowed_until_shortly_before_the_bound(self) -> None:
-        self.floor.take(2, 100.0, 100.0)
+        self.floor.add(2, 100.0, 100.0)
         self.assertEqual(self.floor.oldest_to_place(100.0 + 8.0 - PLACE_MARGIN_SECONDS - 0.01), 1)
         self.assertEqual(self.floor.oldest_to_place(100.0 + 8.0 - PLACE_MARGIN_SECONDS), 2)
 
@@ -26,16 +26,16 @@
         """A version is named before the previous one is in force everywhere. If only the newest
         counted, an engine two versions back would be allowed for as long as operators go on
         naming new ones."""
-        self.floor.take(2, 100.0, 100.0)
-        self.floor.take(3, 102.0, 102.0)
+        self.floor.add(2, 100.0, 100.0)
+        self.floor.add(3, 102.0, 102.0)
         self.assertEqual(self.floor.oldest_to_place(107.5), 2)
         self.assertEqual(self.floor.oldest_to_place(109.5), 3)
 
     def test_placing_limits_tell_when_placing_on_older_versions_stops(
         self,
     ) -> None:
-        self.floor.take(2, 100.0, 100.0)
-        self.floor.take(3, 102.0, 102.0)
+        self.floor.add(2, 100.0, 100.0)
+        self.floor.add(3, 102.0, 102.0)
         limits = self.floor.placing_limits("m", 103.0)
         self.assertEqual([limit.version for limit in limits], [1, 2, 3])
         self.assertAlmostEqual(limits[1].seconds, 5.0 - PLACE_MARGIN_SECONDS)
@@ -45,9 +45,9 @@
         self.assertAlmostEqual(later[1].seconds, 106.0 + 8.0 - PLACE_MARGIN_SECONDS - 108.5)
 
     def test_version_that_was_already_named_changes_nothing(self) -> None:
-        self.floor.take(2, 100.0, 100.0)
-        self.assertFalse(self.floor.take(2, 200.0, 200.0))
-        self.assertFalse(self.floor.take(1, 200.0, 200.0))
+        self.floor.add(2, 100.0, 100.0)
+        self.assertFalse(self.floor.add(2, 200.0, 200.0))
+        self.assertFalse(self.floor.add(1, 200.0, 200.0))
         self.assertEqual(self.floor.oldest_to_place(150.0), 2)
 
     def test_a_restarted_process_does_not_serve_an_overdue_version(self) -> None:
@@ -55,7 +55,7 @@
         when that was; counted from its start, callers would get the previous version for seconds
         longer than operators allow."""
         floor = VersionFloor(8.0)
-        floor.take(2, NEVER, 100.0)
+        floor.add(2, NEVER, 100.0)
         binding = 100.0 + UNKNOWN_NAMING_SECONDS - PLACE_MARGIN_SECONDS
         self.assertEqual(floor.oldest_to_place(binding - 0.01), 0)
         self.assertEqual(floor.oldest_to_place(binding), 2)
@@ -63,12 +63,12 @@
 
     def test_report_of_another_process_dates_the_naming_earlier(self) -> None:
         floor = VersionFloor(8.0)
-        floor.take(2, NEVER, 100.0)
+        floor.add(2, NEVER, 100.0)
         floor.record_reported(2, 7.5, 100.1)
         self.assertEqual(floor.oldest_to_place(100.1), 2)
 
     def test_later_date_in_a_report_does_not_extend_the_time(self) -> None:
-        self.floor.take(2, 100.0, 100.0)
+        self.floor.add(2, 100.0, 100.0)
         self.floor.record_reported(2, 0.0, 105.0)
         self.assertEqual(self.floor.oldest_to_place(107.5), 2)
         self.assertAlmostEqual(self.floor.newest_seconds(103.0), 3.0)
@@ -76,14 +76,14 @@
     def test_version_that_is_heard_of_late_counts_from_the_last_answer_without_it(self) -> None:
         """An entry wakes after 5 s and hears of a version only then. Counted from that moment,
         its callers would get the previous version until 5 s after all others have stopped."""
-        self.floor.take(2, 100.0, 105.0)
+        self.floor.add(2, 100.0, 105.0)
         self.assertEqual(self.floor.oldest_to_place(100.0 + 8.0 - PLACE_MARGIN_SECONDS), 2)
 
     def test_version_that_may_be_overdue_gets_a_short_grace_period(self) -> None:
         """The store was away for long, and a version is named as soon as it is back. Counted
         from the last answer before, the bound has already passed, and all callers would be
         refused before any engine can have switched."""
-        self.floor.take(2, 80.0, 100.0)
+        self.floor.add(2, 80.0, 100.0)
         last = 100.0 + UNKNOWN_NAMING_SECONDS - PLACE_MARGIN_SECONDS
         self.assertEqual(self.floor.oldest_to_place(last - 0.01), 1)
         self.assertEqual(self.floor.oldest_to_place(last), 2)
@@ -92,14 +92,14 @@
         """An entry that has just started tells others how long ago a version was named. If it
         told its worst case, processes that know better would refuse their callers."""
         floor = VersionFloor(8.0)
-        floor.take(2, NEVER, 100.0)
+        floor.add(2, NEVER, 100.0)
         self.assertAlmostEqual(floor.newest_seconds(100.5), 0.5)
 
     def test_an_outage_of_the_store_does_not_count(self) -> None:
         """A version is named while the store does not answer. Counted from the naming, the bound
         has passed when the store is back, and all callers would be refused for as long as the
         transfer of the weights takes."""
-        self.floor.take(2, 100.0, 108.0)
+        self.floor.add(2, 100.0, 108.0)
         last = 108.0 + 8.0 - PLACE_MARGIN_SECONDS
         self.assertEqual(self.floor.oldest_to_place(last - 0.01, Outage(99.0, 108.0)), 1)
         self.assertEqual(self.floor.oldest_to_place(last, Outage(99.0, 108.0)), 2)
@@ -107,11 +107,11 @@
     def test_an_outage_after_the_bound_changes_nothing(self) -> None:
         """A version is enforced, and then the store goes away. If the bound were counted anew,
         requests would be placed on replaced weights again."""
-        self.floor.take(2, 100.0, 100.0)
+        self.floor.add(2, 100.0, 100.0)
         self.assertEqual(self.floor.oldest_to_place(112.0, Outage(109.0, 113.0)), 2)
 
     def test_version_named_after_an_outage_is_enforced_at_its_own_time(self) -> None:
-        self.floor.take(2, 100.0, 100.0)
+        self.floor.add(2, 100.0, 100.0)
         last = 100.0 + 8.0 - PLACE_MARGIN_SECONDS
         self.assertEqual(self.floor.oldest_to_place(last, Outage(80.0, 90.0)), 2)
 
@@ -119,7 +119,7 @@
         """A request is placed at the last moment, and its engine takes half a second to begin it.
         Recalled at once, its caller would lose its place in the queue for nothing; left for
         longer, it could begin after the bound."""
-        self.floor.take(2, 100.0, 100.0)
+        self.floor.add(2, 100.0, 100.0)
         placed_last = 100.0 + 8.0 - PLACE_MARGIN_SECONDS
         self.assertEqual(self.floor.oldest_to_begin(placed_last + 0.5), 1)
         self.assertEqual(self.floor.oldest_to_begin(100.0 + 8.0 - BOUND_MARGIN_SECONDS), 2)
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -224,7 +224,7 @@
             return
         floor = self._floors.setdefault(model, VersionFloor(self._bounds.version))
         now = awake_seconds()
-        if floor.take(version, after, now):
+        if floor.add(version, after, now):
             age = min(now - after, MOST_SECONDS_SHOWN)
             self._log.write(
                 Event.VERSION_NAMED, model=model, version=version, evidence_age=round(age, 3)
