--- a/wasabidrum/decisions/weights_retirement.py
+++ b/wasabidrum/decisions/weights_retirement.py
@@ -52,7 +52,7 @@
         """Drops an entry's limits, for instance when its stream has ended."""
         self._limits.pop(entry, None)
 
-    def due(self, weights: int, now: float) -> bool:
+    def is_due(self, weights: int, now: float) -> bool:
         """Returns whether all known entries have stopped placing requests on a version.
 
         Args:
--- a/wasabidrum/decisions/weights_retirement_test.py
+++ b/wasabidrum/decisions/weights_retirement_test.py
@@ -22,36 +22,36 @@
     def test_weights_are_due_once_all_entries_have_stopped_placing_on_them(self) -> None:
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("b", MODEL, [limit(2, 6.5)], 101.0)
-        self.assertFalse(self.retirement.due(1, 107.4 + IN_FLIGHT_SECONDS))
-        self.assertTrue(self.retirement.due(1, 107.5 + IN_FLIGHT_SECONDS))
-        self.assertFalse(self.retirement.due(2, 200.0))
+        self.assertFalse(self.retirement.is_due(1, 107.4 + IN_FLIGHT_SECONDS))
+        self.assertTrue(self.retirement.is_due(1, 107.5 + IN_FLIGHT_SECONDS))
+        self.assertFalse(self.retirement.is_due(2, 200.0))
 
     def test_an_entry_that_knows_of_no_newer_version_delays_retirement(self) -> None:
         """Guards against an engine out of service because of a version that entries ignore."""
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("b", MODEL, [], 100.0)
-        self.assertFalse(self.retirement.due(1, 200.0))
+        self.assertFalse(self.retirement.is_due(1, 200.0))
         self.retirement.forget("b")
-        self.assertTrue(self.retirement.due(1, 200.0))
+        self.assertTrue(self.retirement.is_due(1, 200.0))
 
     def test_without_known_entries_nothing_is_due(self) -> None:
-        self.assertFalse(self.retirement.due(1, 200.0))
+        self.assertFalse(self.retirement.is_due(1, 200.0))
 
     def test_an_outage_of_the_store_delays_retirement(self) -> None:
         """Guards against an engine out of service while the bound does not count."""
         self.retirement.record("a", MODEL, [limit(2, 7.0)], 100.0)
         self.retirement.record("a", MODEL, [limit(2, 9.0, 6)], 104.0)
-        self.assertFalse(self.retirement.due(1, 112.0))
-        self.assertTrue(self.retirement.due(1, 113.0 + IN_FLIGHT_SECONDS))
+        self.assertFalse(self.retirement.is_due(1, 112.0))
+        self.assertTrue(self.retirement.is_due(1, 113.0 + IN_FLIGHT_SECONDS))
 
     def test_the_earlier_limit_of_two_newer_versions_counts(self) -> None:
         self.retirement.record("a", MODEL, [limit(2, 5.0), limit(3, 9.0)], 100.0)
-        self.assertTrue(self.retirement.due(1, 105.0 + IN_FLIGHT_SECONDS))
-        self.assertFalse(self.retirement.due(2, 105.0 + IN_FLIGHT_SECONDS))
+        self.assertTrue(self.retirement.is_due(1, 105.0 + IN_FLIGHT_SECONDS))
+        self.assertFalse(self.retirement.is_due(2, 105.0 + IN_FLIGHT_SECONDS))
 
     def test_limits_of_other_models_do_not_count(self) -> None:
         self.retirement.record("a", "other", [limit(2, 5.0)], 100.0)
-        self.assertFalse(self.retirement.due(1, 200.0))
+        self.assertFalse(self.retirement.is_due(1, 200.0))
 
 
 if __name__ == "__main__":
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -217,7 +217,7 @@
             report = self.report
             if report is None or report.busy or not 0 < report.weights < staged.version:
                 continue
-            if not self.retirement.due(report.weights, awake_seconds()):
+            if not self.retirement.is_due(report.weights, awake_seconds()):
                 continue
             layer = staged.complete_layer(self._listed.layers)
             # What is complete is about to be ordered as a whole.
