--- a/wasabidrum/decisions/version_choice.py
+++ b/wasabidrum/decisions/version_choice.py
@@ -27,7 +27,7 @@
 
     __slots__ = ("version", "_may_resume", "_set_aside", "_abandoned_share")
 
-    def __init__(self, returns: bool = True) -> None:
+    def __init__(self, may_resume: bool = True) -> None:
         """Creates a choice.
 
         Args:
@@ -36,7 +36,7 @@
             part of the version that the other has set aside.
         """
         self.version: int | None = None
-        self._may_resume = returns
+        self._may_resume = may_resume
         self._set_aside: int | None = None
         self._abandoned_share = 0.0
 
--- a/wasabidrum/decisions/version_choice_test.py
+++ b/wasabidrum/decisions/version_choice_test.py
@@ -96,7 +96,7 @@
     def test_process_that_sends_to_others_does_not_resume(self) -> None:
         """Two relays would wait for each other's part of two versions, and alternate between
         them."""
-        choice = VersionChoice(returns=False)
+        choice = VersionChoice(may_resume=False)
         choice.choose(2, 0.0, 0.0, False)
         choice.choose(3, 0.2, 0.1, False)
         self.assertEqual(choice.choose(3, 0.2, STALL_TIMEOUT_SECONDS + 0.1, False), 3)
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -153,7 +153,7 @@
         """Holds what is wanted, for ever."""
         target: RelayTarget | None = None
         work: asyncio.Task[None] | None = None
-        choice = VersionChoice(returns=False)
+        choice = VersionChoice(may_resume=False)
         try:
             while True:
                 found = self._find_target(choice)
