--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -14,45 +14,45 @@
     """One peer that is slow to answer, or sends corrupt bytes."""
 
     def setUp(self) -> None:
-        self.evidence = ChunkPeerHealth()
+        self.health = ChunkPeerHealth()
 
     def test_all_requests_waiting_at_a_silent_peer_go_elsewhere(self) -> None:
         """Several chunks are requested from a suspended sidecar, and one request detects that it
         is silent. The others must not each wait until they have detected it themselves."""
-        self.evidence.record_request("peer", 0.0)
-        self.evidence.record_slow("peer", 1.0)
-        self.assertTrue(self.evidence.is_skipped_as_slow("peer", 1.1))
-        self.evidence.record_request("peer", 1.0 + SLOW_BACKOFF_SECONDS)
-        self.assertFalse(self.evidence.is_skipped_as_slow("peer", 1.1 + SLOW_BACKOFF_SECONDS))
-        self.evidence.record_answer("peer", True)
-        self.assertFalse(self.evidence.is_skipped("peer", 1.2 + SLOW_BACKOFF_SECONDS))
+        self.health.record_request("peer", 0.0)
+        self.health.record_slow("peer", 1.0)
+        self.assertTrue(self.health.is_skipped_as_slow("peer", 1.1))
+        self.health.record_request("peer", 1.0 + SLOW_BACKOFF_SECONDS)
+        self.assertFalse(self.health.is_skipped_as_slow("peer", 1.1 + SLOW_BACKOFF_SECONDS))
+        self.health.record_answer("peer", True)
+        self.assertFalse(self.health.is_skipped("peer", 1.2 + SLOW_BACKOFF_SECONDS))
 
     def test_peer_that_is_always_slow_is_waited_for_in_the_end(self) -> None:
         """The only holder of a chunk is behind a permanently slow link, and the origin is gone.
         If every request to it were aborted after a second, nobody would ever get the chunk."""
         now = 0.0
         for _ in range(WAIT_AFTER_SLOW_COUNT):
-            self.assertFalse(self.evidence.should_wait_for("peer"))
-            self.evidence.record_request("peer", now)
-            self.evidence.record_slow("peer", now + 1.0)
+            self.assertFalse(self.health.should_wait_for("peer"))
+            self.health.record_request("peer", now)
+            self.health.record_slow("peer", now + 1.0)
             # Other requests that waited at the same peer report it too; they count once.
-            self.evidence.record_slow("peer", now + 1.0)
+            self.health.record_slow("peer", now + 1.0)
             now += 10.0
-        self.assertTrue(self.evidence.should_wait_for("peer"))
+        self.assertTrue(self.health.should_wait_for("peer"))
 
     def test_failures_of_the_own_link_are_discarded_for_a_limited_time(self) -> None:
         """A sidecar's own link is narrow, and all its requests fail. Counted against the peers,
         they would be skipped for a minute after the link has recovered; discarded for ever, a
         sidecar that is cut off would never turn to the origin."""
         for _ in range(MAX_DISCARDED_FAILURES):
-            self.evidence.record_slow("peer", 0.0)
-            self.assertTrue(self.evidence.discard_failures("peer"))
-            self.assertFalse(self.evidence.is_skipped("peer", 0.1))
-        self.assertFalse(self.evidence.discard_failures("peer"))
-        self.evidence.record_answer("peer", False)
-        self.assertTrue(self.evidence.discard_failures("peer"))
+            self.health.record_slow("peer", 0.0)
+            self.assertTrue(self.health.discard_failures("peer"))
+            self.assertFalse(self.health.is_skipped("peer", 0.1))
+        self.assertFalse(self.health.discard_failures("peer"))
+        self.health.record_answer("peer", False)
+        self.assertTrue(self.health.discard_failures("peer"))
 
     def test_corrupt_bytes_are_never_discarded(self) -> None:
-        self.evidence.record_failure("peer", 0.0, corrupt=True)
-        self.assertFalse(self.evidence.discard_failures("peer"))
-        self.assertTrue(self.evidence.is_skipped("peer", 1.0))
+        self.health.record_failure("peer", 0.0, corrupt=True)
+        self.assertFalse(self.health.discard_failures("peer"))
+        self.assertTrue(self.health.is_skipped("peer", 1.0))
--- a/wasabidrum/decisions/chunk_plan.py
+++ b/wasabidrum/decisions/chunk_plan.py
@@ -10,10 +10,10 @@
 total. The inner nodes of the trees are spread evenly over the instances, because the busiest
 uplink determines how long the whole transfer takes.
 
-In a region with relays, the relays bring chunks in and send them to the instances (RELAY_FANOUT
-each). A relay has a far wider link than an instance beside an engine, so that no instance's
-uplink determines the time. The tree is used by the instances that no relay serves, and by all
-instances once the relays are gone.
+In a region with relays, the relays bring chunks in and send each chunk to RELAY_FANOUT instances.
+A relay has a far wider link than an instance beside an engine, so that no instance's uplink
+determines the time. The tree is used by the instances that no relay serves, and by all instances
+once the relays are gone.
 """
 
 import collections.abc
--- a/wasabidrum/decisions/chunk_source_choice.py
+++ b/wasabidrum/decisions/chunk_source_choice.py
@@ -83,8 +83,8 @@
 def find_relay(plan: ChunkPlan, requester: Requester, index: int, usable: PeerPredicate) -> str:
     """Returns the relay in the requester's region to ask for a chunk, or an empty string.
 
-    Relays ask the relays ahead of them. Instances beyond the first RELAY_FANOUT after the relays
-    ask along the tree instead, so that no relay sends more than its link carries.
+    A relay asks the relays ahead of it. Of the other instances the first RELAY_FANOUT in the order
+    ask a relay, and the rest ask along the tree, so that no relay sends more than its link carries.
     """
     region = plan.regions.get(requester.region)
     if region is None or not region.relays:
@@ -149,9 +149,9 @@
     """Returns the peers to probe for a chunk, the likeliest holders first.
 
     A restarted or late instance may be the one that the plan names to fetch a chunk while its
-    whole region already holds it. The first instances in the chunk's rendezvous order keep it
-    longest, so they are probed first. Each further round probes the next ones, until all have
-    been probed.
+    whole region already holds it. The likeliest holders are the first in the plan's order, and the
+    first in the chunk's rendezvous order, which keep it longest. Round zero probes a few of them;
+    further rounds go through all candidates.
     """
     regions = [requester.region, *plan.region_order(index)]
     ranked_names = {name: rank_names(digest, plan.regions[name].names) for name in plan.regions}
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -48,7 +48,7 @@
         self.held = {name: set() for name in self.regions}
         self.alive = set(self.regions)
         self.liars: set[str] = set()
-        self.evidence = {name: ChunkPeerHealth() for name in self.regions}
+        self.health = {name: ChunkPeerHealth() for name in self.regions}
         self.waits: dict[tuple[str, str], int] = {}
         self.now = 0.0
         self.loss = 0.0
@@ -57,47 +57,47 @@
 
     def usable(self, name: str, digest: str) -> chunk_source_choice.PeerPredicate:
         """Returns which peers one instance may ask for a chunk, by its own observations."""
-        evidence = self.evidence[name]
+        health = self.health[name]
         return lambda other: (
             other != name
-            and not evidence.is_skipped(other, self.now)
-            and not evidence.lacks(other, digest, self.now)
+            and not health.is_skipped(other, self.now)
+            and not health.lacks(other, digest, self.now)
         )
 
     def ask(self, name: str, peer: str, digest: str, probe: bool = False) -> bool:
         """Has one instance ask another for a chunk; returns whether it has the chunk now."""
-        evidence = self.evidence[name]
-        evidence.record_request(peer, self.now)
+        health = self.health[name]
+        health.record_request(peer, self.now)
         if peer not in self.alive or self.random.random() < self.loss:
-            evidence.record_failure(peer, self.now)
+            health.record_failure(peer, self.now)
             return False
         if digest not in self.held[peer]:
-            evidence.record_answer(peer, False)
+            health.record_answer(peer, False)
             if not probe:
                 waits = self.waits[(name, digest)] = self.waits.get((name, digest), 0) + 1
                 if digest not in self.versions[self.wanted] or waits % WAITS_BEFORE_NEXT_PEER == 0:
-                    evidence.record_lack(peer, digest, self.now)
+                    health.record_lack(peer, digest, self.now)
             return False
         if peer in self.liars:
-            evidence.record_failure(peer, self.now, corrupt=True)
+            health.record_failure(peer, self.now, corrupt=True)
             return False
-        evidence.record_answer(peer, True)
+        health.record_answer(peer, True)
         self.held[name].add(digest)
         return True
 
     def step(self, name: str, digest: str, probes: int) -> None:
         """Has one instance take its next step towards one chunk."""
         plan = self.plans[self.wanted]
-        asker = Requester(name, self.regions[name])
+        requester = Requester(name, self.regions[name])
         index = plan.index_of(digest)
         usable = self.usable(name, digest)
-        step = chunk_source_choice.find_step(plan, asker, index, usable)
+        step = chunk_source_choice.find_step(plan, requester, index, usable)
         if step.kind is FetchStepKind.FROM_PEER:
             self.ask(name, step.peer, digest)
             return
-        evidence = self.evidence[name]
+        health = self.health[name]
         likely = chunk_source_choice.choose_probes(
-            plan, asker, index, digest, lambda p: not evidence.is_skipped(p, self.now), probes
+            plan, requester, index, digest, lambda p: not health.is_skipped(p, self.now), probes
         )
         if any(self.ask(name, peer, digest, True) for peer in likely) or not self.origin_up:
             return
@@ -120,7 +120,7 @@
         return all(wanted <= self.held[name] for name in self.alive)
 
 
-class ChunkRouteTest(unittest.TestCase):
+class ChunkSourceChoiceTest(unittest.TestCase):
     """The plan is balanced, the same for all instances, and repaired after failures."""
 
     def test_each_chunk_is_fetched_from_the_origin_once(self) -> None:
@@ -202,9 +202,9 @@
         plan = ChunkPlan("root", tuple(chunks), {f"w{i}": "rift-a" for i in range(9)})
         kept: set[str] = set()
         for name in plan.regions["rift-a"].names:
-            asker = Requester(name, "rift-a")
+            requester = Requester(name, "rift-a")
             held = [
-                HeldChunk(digest, 1, chunk_source_choice.retention_rank(plan, asker, digest))
+                HeldChunk(digest, 1, chunk_source_choice.retention_rank(plan, requester, digest))
                 for digest in chunks
             ]
             while len(held) > 30:
@@ -215,16 +215,16 @@
     def test_after_the_backoff_one_request_probes_a_failed_peer(self) -> None:
         """A stalled peer's backoff ends. If the requests for all chunks tried it, all would
         stall."""
-        evidence = ChunkPeerHealth()
-        evidence.record_failure("peer", 0.0)
-        self.assertTrue(evidence.is_skipped("peer", 1.0))
-        self.assertFalse(evidence.is_skipped("peer", 2.5))
-        evidence.record_request("peer", 2.5)
-        self.assertTrue(evidence.is_skipped("peer", 2.6))
-        evidence.record_failure("peer", 5.0)
-        self.assertTrue(evidence.is_skipped("peer", 8.5))
-        evidence.record_answer("peer", True)
-        self.assertFalse(evidence.is_skipped("peer", 8.5))
+        health = ChunkPeerHealth()
+        health.record_failure("peer", 0.0)
+        self.assertTrue(health.is_skipped("peer", 1.0))
+        self.assertFalse(health.is_skipped("peer", 2.5))
+        health.record_request("peer", 2.5)
+        self.assertTrue(health.is_skipped("peer", 2.6))
+        health.record_failure("peer", 5.0)
+        self.assertTrue(health.is_skipped("peer", 8.5))
+        health.record_answer("peer", True)
+        self.assertFalse(health.is_skipped("peer", 8.5))
 
     def test_reservations_on_a_link_follow_each_other(self) -> None:
         link = LinkSchedule()
@@ -271,9 +271,11 @@
     def test_every_sidecar_asks_a_relay_of_its_region(self) -> None:
         """Sidecars that also send a copy to others would wait for the busiest link among them."""
         for name, region in self.regions.items():
-            asker = Requester(name, region)
+            requester = Requester(name, region)
             for index in range(len(self.chunks)):
-                asked = chunk_source_choice.find_relay(self.plan, asker, index, lambda other: True)
+                asked = chunk_source_choice.find_relay(
+                    self.plan, requester, index, lambda other: True
+                )
                 self.assertEqual(self.relays[asked], region)
 
     def test_relays_of_a_region_share_the_chunks_evenly(self) -> None:
@@ -285,19 +287,19 @@
 
     def test_dead_relay_is_skipped_and_without_relays_the_tree_is_used(self) -> None:
         name, region = next(iter(self.regions.items()))
-        asker = Requester(name, region)
+        requester = Requester(name, region)
         near = [relay for relay, where in self.relays.items() if where == region]
         for dead in near:
             asked = chunk_source_choice.find_relay(
-                self.plan, asker, 0, lambda other, d=dead: other != d
+                self.plan, requester, 0, lambda other, d=dead: other != d
             )
             self.assertEqual([asked], [relay for relay in near if relay != dead])
         none_left = chunk_source_choice.find_relay(
-            self.plan, asker, 0, lambda other: other in self.regions
+            self.plan, requester, 0, lambda other: other in self.regions
         )
         self.assertEqual(none_left, "")
         step = chunk_source_choice.find_step(
-            self.plan, asker, 0, lambda other: other in self.regions
+            self.plan, requester, 0, lambda other: other in self.regions
         )
         self.assertNotIn(step.peer, self.relays)
 
--- a/wasabidrum/decisions/engine_forecast.py
+++ b/wasabidrum/decisions/engine_forecast.py
@@ -50,10 +50,10 @@
 def run_seconds(figures: EngineFigures, running: float) -> float:
     """Returns how long a request of usual size holds a slot, among others like it."""
     passes = max(1.0, figures.usual_answer / figures.stride)
-    writing = passes * pass_seconds(figures, running)
+    generating = passes * pass_seconds(figures, running)
     reading = read_seconds(figures, figures.usual_prompt)
     # While one request generates, the engine reads the prompts of those that come and go: one each.
-    return writing + reading * (1.0 + running)
+    return generating + reading * (1.0 + running)
 
 
 def first_event_seconds(figures: EngineFigures, work: EngineWork, prompt_tokens: int) -> float:
--- a/wasabidrum/decisions/inbound_rate_limit_test.py
+++ b/wasabidrum/decisions/inbound_rate_limit_test.py
@@ -18,11 +18,11 @@
     Returns:
       The longest such wait after the first chunk, and the total time, in seconds.
     """
-    pace = InboundRateLimit(SETTINGS_RATE)
+    limit = InboundRateLimit(SETTINGS_RATE)
     now = free_at = worst = 0.0
     for number in range(chunks):
-        at_once = 1 if pace.narrow else AT_ONCE
-        seconds = at_once * CHUNK_BYTES / pace.rate
+        at_once = 1 if limit.narrow else AT_ONCE
+        seconds = at_once * CHUNK_BYTES / limit.rate
         now += seconds
         free_at = max(free_at, now - seconds) + at_once * CHUNK_BYTES / link_rate
         late = max(0.0, free_at - now)
@@ -30,11 +30,11 @@
             worst = max(worst, late)
         now = max(now, free_at)
         if adapts:
-            pace.record(CHUNK_BYTES, at_once, seconds, late)
+            limit.record(CHUNK_BYTES, at_once, seconds, late)
     return worst, now
 
 
-class InboundPaceTest(unittest.TestCase):
+class InboundRateLimitTest(unittest.TestCase):
     """Links as wide as their settings say, and narrower ones."""
 
     def test_on_a_narrow_link_requests_do_not_wait_behind_weights(self) -> None:
@@ -51,20 +51,20 @@
 
     def test_recovery_of_a_link_is_detected(self) -> None:
         """Guards against an engine that stays without weights long after its link recovered."""
-        pace = InboundRateLimit(SETTINGS_RATE)
-        pace.record(CHUNK_BYTES, 2, 0.35, 3.0)
-        self.assertTrue(pace.narrow)
+        limit = InboundRateLimit(SETTINGS_RATE)
+        limit.record(CHUNK_BYTES, 2, 0.35, 3.0)
+        self.assertTrue(limit.narrow)
         seconds = 0.0
-        while pace.narrow:
-            seconds += CHUNK_BYTES / pace.rate
-            pace.record(CHUNK_BYTES, 1, 0.0, 0.0)
+        while limit.narrow:
+            seconds += CHUNK_BYTES / limit.rate
+            limit.record(CHUNK_BYTES, 1, 0.0, 0.0)
         self.assertLess(seconds, 8.0)
 
     def test_rate_never_falls_to_zero(self) -> None:
-        pace = InboundRateLimit(SETTINGS_RATE)
+        limit = InboundRateLimit(SETTINGS_RATE)
         for _ in range(100):
-            pace.record(CHUNK_BYTES, 1, 1.0, 100.0)
-        self.assertGreater(pace.rate, 0.0)
+            limit.record(CHUNK_BYTES, 1, 1.0, 100.0)
+        self.assertGreater(limit.rate, 0.0)
 
 
 if __name__ == "__main__":
--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -2,13 +2,13 @@
 
 Load pattern: while a version spreads, all sidecars wait at a few peers for chunks that these still
 lack. A peer that waits itself says nothing for seconds; so does one that is suspended or whose
-link has become narrow. If these were told apart only when the long wait times out, one such peer
+link has become narrow. If they were told apart only when the long wait times out, one such peer
 would keep its part of the version from the whole fleet for four seconds each time, and a probe
 that waits for it would delay what its sender is about to fetch from the origin.
 
 A healthy peer answers a probe at once, whatever it waits for. So the peers at which this sidecar
-waits are probed together with some reference peers, and a peer that is silent for longer
-than the fastest took by ANSWER_MARGIN_SECONDS is skipped. The comparison is relative because all
+waits are probed together with some reference peers, and a peer that has not answered
+ANSWER_MARGIN_SECONDS after the fastest one is skipped. The comparison is relative because all
 answers are late while this sidecar's own link is busy; skipping all peers for that would cost the
 origin a copy.
 
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.answer_seconds = {name: 0.01 for name in REGION_OF if name != "side-0"}
         self.responsiveness = PeerResponsiveness()
-        self.evidence = ChunkPeerHealth()
+        self.health = ChunkPeerHealth()
         self.now = 0.0
 
     def probe_all(self) -> set[str]:
@@ -49,7 +49,7 @@
         self.responsiveness.record_round(answers, elapsed, self.now)
         silent = set(find_silent(answers, elapsed))
         for name in silent:
-            self.evidence.record_slow(name, self.now)
+            self.health.record_slow(name, self.now)
         self.now += PROBE_INTERVAL_SECONDS
         return silent
 
@@ -73,7 +73,7 @@
         self.replay.answer_seconds["side-3"] = 0.01
         self.replay.now += 2.0
         self.assertEqual(self.replay.probe_all(), set())
-        self.assertFalse(self.replay.evidence.is_skipped("side-3", self.replay.now))
+        self.assertFalse(self.replay.health.is_skipped("side-3", self.replay.now))
 
     def test_two_peers_behind_narrow_links_are_both_skipped(self) -> None:
         """Two links of six have become narrow. The slow answers of one of the two peers must not
--- a/wasabidrum/decisions/rollout_wave.py
+++ b/wasabidrum/decisions/rollout_wave.py
@@ -76,6 +76,9 @@
 ) -> Proof:
     """Returns what the contacts' statuses say of a version.
 
+    An endpoint that is no canary candidate tries the version only if none of its contacts answers
+    and it has been ready for CANARY_TIMEOUT_SECONDS.
+
     Args:
       statuses: The contacts that were asked; None for one that did not answer.
       ready_seconds: For how long this endpoint has been ready to switch.
@@ -96,7 +99,11 @@
 
 
 def may_become_canary(status: Status, version: str, timed_out: bool) -> bool:
-    """Returns whether an endpoint earlier in the order may still become the canary."""
+    """Returns whether an endpoint earlier in the order may still become the canary.
+
+    Args:
+      timed_out: Whether endpoints that are not ready are no longer waited for.
+    """
     if status.failed_version == version:
         return False
     ready = status.staged == version or status.version == version or status.switching
--- a/wasabidrum/decisions/send_rate.py
+++ b/wasabidrum/decisions/send_rate.py
@@ -1,4 +1,4 @@
-"""How many requests per second an entry sends, by its latest requests."""
+"""How many requests per second an entry sends or refuses, by the latest requests."""
 
 import math
 
