--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -11,7 +11,7 @@
 from wasabidrum.decisions.endpoint_load import EndpointLoad
 from wasabidrum.decisions.engine_forecast import pass_seconds, read_seconds
 from wasabidrum.decisions.forecast_bias import ForecastBias
-from wasabidrum.decisions.send_rate import SendRate
+from wasabidrum.decisions.request_rate import SendRate
 
 FIGURES = EngineFigures(
     slots=16,
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -9,7 +9,7 @@
     ForecastBias,
     length_class,
 )
-from .send_rate import SendRate
+from .request_rate import SendRate
 
 ENTRIES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
 
--- a/wasabidrum/gateway/service_traffic.py
+++ b/wasabidrum/gateway/service_traffic.py
@@ -1,7 +1,7 @@
 """What an entry sends to one service, and how its forecasts turn out."""
 
 from ..decisions.forecast_bias import ForecastBias
-from ..decisions.send_rate import SendRate
+from ..decisions.request_rate import SendRate
 
 
 class ServiceTraffic:
