--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -11,7 +11,7 @@
 from wasabidrum.decisions.endpoint_load import EndpointLoad
 from wasabidrum.decisions.engine_forecast import pass_seconds, read_seconds
 from wasabidrum.decisions.forecast_bias import ForecastBias
-from wasabidrum.decisions.request_rate import SendRate
+from wasabidrum.decisions.request_rate import RequestRate
 
 FIGURES = EngineFigures(
     slots=16,
@@ -100,7 +100,7 @@
         self.data_centre = str(number % places)
         self.weight = TRAFFIC[number % places]
         self.loads = {endpoint.id: EndpointLoad(rng) for endpoint in endpoints}
-        self.rate = SendRate()
+        self.rate = RequestRate()
         self.bias = ForecastBias()
         self._endpoints = endpoints
         self._others = entries - 1
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -9,7 +9,7 @@
     ForecastBias,
     length_class,
 )
-from .request_rate import SendRate
+from .request_rate import RequestRate
 
 ENTRIES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
 
@@ -41,7 +41,7 @@
     """Requests a second."""
 
     def test_it_follows_a_steady_load_and_forgets_it(self) -> None:
-        rate = SendRate()
+        rate = RequestRate()
         for step in range(400):
             rate.record(step * 0.05)
         self.assertAlmostEqual(rate.per_second(20.0), 20.0, delta=2.0)
--- a/wasabidrum/decisions/request_rate.py
+++ b/wasabidrum/decisions/request_rate.py
@@ -5,7 +5,7 @@
 DECAY_SECONDS = 1.0
 
 
-class SendRate:
+class RequestRate:
     """An exponentially decaying rate."""
 
     __slots__ = ("_decayed_count", "_updated_at")
--- a/wasabidrum/gateway/service_traffic.py
+++ b/wasabidrum/gateway/service_traffic.py
@@ -1,7 +1,7 @@
 """What an entry sends to one service, and how its forecasts turn out."""
 
 from ..decisions.forecast_bias import ForecastBias
-from ..decisions.request_rate import SendRate
+from ..decisions.request_rate import RequestRate
 
 
 class ServiceTraffic:
@@ -16,8 +16,8 @@
     __slots__ = ("rate", "refusals", "bias")
 
     def __init__(self) -> None:
-        self.rate = SendRate()
-        self.refusals = SendRate()
+        self.rate = RequestRate()
+        self.refusals = RequestRate()
         self.bias = ForecastBias()
 
     def refused_share(self, now: float) -> float:
