--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -11,7 +11,7 @@
 from wasabidrum.decisions.endpoint_load import EndpointLoad
 from wasabidrum.decisions.engine_forecast import pass_seconds, read_seconds
 from wasabidrum.decisions.forecast_bias import ForecastBias
-from wasabidrum.decisions.send_rate import SendRate
+from wasabidrum.decisions.request_rate import RequestRate
 
 FIGURES = EngineFigures(
     slots=16,
@@ -100,7 +100,7 @@
         self.data_centre = str(number % places)
         self.weight = TRAFFIC[number % places]
         self.loads = {endpoint.id: EndpointLoad(rng) for endpoint in endpoints}
-        self.rate = SendRate()
+        self.rate = RequestRate()
         self.bias = ForecastBias()
         self._endpoints = endpoints
         self._others = entries - 1
@@ -190,7 +190,7 @@
             return
         job.forecast = choice.raw
         choice.candidate.load.placed(prompt, now)
-        entry.rate.take(now)
+        entry.rate.record(now)
         place = self._endpoints.index(choice.candidate.endpoint)
         self._places[id(job)] = place
         engine = self._engines[place]
@@ -215,7 +215,7 @@
             return
         self._told.add(id(job))
         self._load(job, number).first_event(job.prompt, now)
-        self.entries[job.entry].bias.take(job.forecast, now - job.arrived, now)
+        self.entries[job.entry].bias.record(job.forecast, now - job.arrived, now)
 
     def _load(self, job: Job, number: int) -> EndpointLoad:
         return self.entries[job.entry].loads[self._endpoints[number].id]
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -175,7 +175,7 @@
 
     def record_refusal(self, service: str) -> None:
         """Counts a request that no endpoint could take."""
-        self.traffic(service).refusals.take(asyncio.get_running_loop().time())
+        self.traffic(service).refusals.record(asyncio.get_running_loop().time())
 
     def traffic(self, service: str) -> ServiceTraffic:
         """Returns what this entry sends to a service."""
@@ -188,19 +188,19 @@
         """Counts a request that is sent to its endpoint."""
         now = asyncio.get_running_loop().time()
         placed.load.placed(prompt_tokens, now, placed.seconds)
-        self.traffic(placed.endpoint.service).rate.take(now)
+        self.traffic(placed.endpoint.service).rate.record(now)
 
     def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
         """Records a request's first event, some seconds after it was placed."""
         now = asyncio.get_running_loop().time()
         placed.load.first_event(prompt_tokens, now)
-        placed.load.lateness.take(seconds - placed.seconds, now)
-        self.traffic(placed.endpoint.service).bias.take(placed.raw, seconds, now)
+        placed.load.lateness.record(seconds - placed.seconds, now)
+        self.traffic(placed.endpoint.service).bias.record(placed.raw, seconds, now)
 
     def record_waiting(self, placed: Placed, placed_at: float) -> None:
         """Records that a request has not begun yet, which may be later than forecast."""
         now = asyncio.get_running_loop().time()
-        placed.load.lateness.take(now - placed_at - placed.seconds, now)
+        placed.load.lateness.record(now - placed_at - placed.seconds, now)
 
     def record_failure(self, placed: Placed, reason: str) -> None:
         """Records a failure that may be the endpoint's own."""
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -8,10 +8,10 @@
 
 from ..config.settings import Settings
 from ..core.errors import CodedError
-from ..decisions import chunk_route
-from ..decisions.chunk_evidence import SLOW_PAUSE_SECONDS
+from ..decisions import chunk_source_choice
+from ..decisions.chunk_peer_health import SLOW_BACKOFF_SECONDS
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.chunk_route import Asker, Step, StepKind
+from ..decisions.chunk_source_choice import FetchStep, FetchStepKind, Requester
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -120,7 +120,7 @@
             name
             for name in region.carriers
             if name == self._settings.name
-            or (name in members and not self.asker.evidence.avoided(name, now))
+            or (name in members and not self.asker.evidence.is_skipped(name, now))
         ]
         # A stand-in for dead carriers is one of all, so all together keep within one share.
         mine = self._settings.name in region.carriers
@@ -141,7 +141,7 @@
         relays = region.relays if region is not None else ()
         now = self._now()
         usable = any(
-            name in self.asker.members() and not self.asker.evidence.avoided(name, now)
+            name in self.asker.members() and not self.asker.evidence.is_skipped(name, now)
             for name in relays
         )
         if usable and self._settings.name not in relays:
@@ -154,7 +154,7 @@
         while (content := self.store.get(digest)) is None:
             index = plan.index_of(digest)
             step = self._find_step(plan, index, digest)
-            if step.kind is StepKind.ASK:
+            if step.kind is FetchStepKind.FROM_PEER:
                 async with self._turn():
                     rate = self._inbound_rate(step.peer)
                     content, state = await self.asker.ask(step.peer, digest, self._patience(), rate)
@@ -183,7 +183,7 @@
 
     def avoided_names(self) -> list[str]:
         """Returns the peers passed over now."""
-        return self.asker.evidence.avoided_names(self._now())
+        return self.asker.evidence.skipped_names(self._now())
 
     def _inbound_rate(self, peer: str) -> float:
         """Returns the bytes a second that a peer may send here; zero where it knows itself."""
@@ -218,61 +218,65 @@
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _asker(self, members: dict[str, MemberView]) -> Asker:
+    def _asker(self, members: dict[str, MemberView]) -> Requester:
         name = self._settings.name
         # Nobody finds an instance that the lists of others lack. What it drew nobody would
         # ask it for, and others would draw the same once more; so it stands last.
-        return Asker(name, self._settings.region, self._known())
+        return Requester(name, self._settings.region, self._known())
 
-    def _usable(self, digest: str, members: dict[str, MemberView]) -> chunk_route.Usable:
+    def _usable(
+        self, digest: str, members: dict[str, MemberView]
+    ) -> chunk_source_choice.PeerPredicate:
         now = self._now()
 
         def usable(name: str) -> bool:
             return (
                 name in members
                 and name != self._settings.name
-                and not self.asker.evidence.avoided(name, now)
+                and not self.asker.evidence.is_skipped(name, now)
                 and not self.asker.evidence.lacks(name, digest, now)
             )
 
         return usable
 
-    def _find_step(self, plan: ChunkPlan, index: int, digest: str) -> Step:
+    def _find_step(self, plan: ChunkPlan, index: int, digest: str) -> FetchStep:
         members = self.asker.members()
         asker = self._asker(members)
         usable = self._usable(digest, members)
         if self._settings.weights_from == "origin":
-            return Step(StepKind.DRAW)
+            return FetchStep(FetchStepKind.FROM_ORIGIN)
         if self._settings.weights_from == "chain":
-            return chunk_route.find_chain_step(plan, asker, usable)
-        relay = chunk_route.find_relay(plan, asker, index, usable)
+            return chunk_source_choice.find_chain_step(plan, asker, usable)
+        relay = chunk_source_choice.find_relay(plan, asker, index, usable)
         if relay:
-            return Step(StepKind.ASK, relay)
-        holder = chunk_route.find_holder(self.asker.holders, asker.name, digest, usable)
+            return FetchStep(FetchStepKind.FROM_PEER, relay)
+        holder = chunk_source_choice.find_holder(self.asker.holders, asker.name, digest, usable)
         if holder:
-            return Step(StepKind.ASK, holder)
-        return chunk_route.find_step(plan, asker, index, usable)
+            return FetchStep(FetchStepKind.FROM_PEER, holder)
+        return chunk_source_choice.find_step(plan, asker, index, usable)
 
     def _keep(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
         asker = self._asker(self.asker.members())
-        rank = chunk_route.rank_to_keep(plan, asker, digest)
+        rank = chunk_source_choice.retention_rank(plan, asker, digest)
         self.share_link(plan)
-        self.store.add(digest, content, rank, chunk_route.count_children(plan, asker, index))
+        self.store.add(
+            digest, content, rank, chunk_source_choice.count_children(plan, asker, index)
+        )
 
     async def _bring_in(
-        self, plan: ChunkPlan, index: int, digest: str, step: Step, rounds: int
+        self, plan: ChunkPlan, index: int, digest: str, step: FetchStep, rounds: int
     ) -> bytes | None:
         """Brings a chunk in where nobody ahead can give it; None means to look again."""
         plain = self._settings.weights_from != "peers"
         if not plain:
             await self._wait_before_draw(plan, step, rounds)
-            if self._find_step(plan, index, digest).kind is not StepKind.DRAW:
+            if self._find_step(plan, index, digest).kind is not FetchStepKind.FROM_ORIGIN:
                 return None
             found, content = await self._ask_holders(plan, index, digest, rounds)
             if found or (self.spread and rounds < PROBE_ROUNDS_WHEN_SPREAD):
                 return content
             if rounds < ROUNDS_IN_DOUBT and self.asker.own_link_suspected():
-                await asyncio.sleep(SLOW_PAUSE_SECONDS)
+                await asyncio.sleep(SLOW_BACKOFF_SECONDS)
                 return None
         self.store.drawing.add(digest)
         began = self._now()
@@ -293,7 +297,7 @@
             self._log.write(Event.CHUNK_DRAWN, chunk=digest, place=index, bytes=len(content))
         return content
 
-    async def _wait_before_draw(self, plan: ChunkPlan, step: Step, rounds: int) -> None:
+    async def _wait_before_draw(self, plan: ChunkPlan, step: FetchStep, rounds: int) -> None:
         """Waits for the peers behind this one to ask, which shows that they know of it."""
         alone = sum(len(region.names) for region in plan.regions.values()) == 1
         patience = self._begun_at + KNOWN_WITHIN_SECONDS - self._now()
@@ -307,7 +311,7 @@
         else:
             # Once for the version and not for each chunk, or a fleet of which only this one
             # is left would wait for every chunk anew.
-            late = self._begun_at + chunk_route.LONGEST_DELAY_SECONDS - self._now()
+            late = self._begun_at + chunk_source_choice.MAX_ORIGIN_DELAY_SECONDS - self._now()
             await asyncio.sleep(max(0.0, min(late, step.delay)))
 
     async def _ask_holders(
@@ -318,12 +322,12 @@
         asker = self._asker(members)
         # A peer that lacked the chunk a moment ago may have it by now; probes are cheap.
         now = self._now()
-        names = chunk_route.choose_probes(
+        names = chunk_source_choice.choose_probes(
             plan,
             asker,
             index,
             digest,
-            lambda name: name in members and not self.asker.evidence.avoided(name, now),
+            lambda name: name in members and not self.asker.evidence.is_skipped(name, now),
             rounds,
         )
         states = await self.asker.probe(names, digest)
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -7,9 +7,9 @@
 from ..core.engine_report import EngineReport, PieceList
 from ..core.errors import CodedError
 from ..decisions.switch_turns import (
-    EARLY_SECONDS,
-    ends_runs_early,
+    EARLY_DRAIN_SECONDS,
     seconds_until_turn,
+    should_drain_early,
     turn_of,
 )
 from ..decisions.version_choice import VersionChoice
@@ -196,10 +196,12 @@
         if not self._listed.named_for(staged.version) or self._listed.own not in answering:
             return
         loop = asyncio.get_running_loop()
-        while not ends_runs_early(turn, len(answering), staged.share, loop.time() - self._begun_at):
+        while not should_drain_early(
+            turn, len(answering), staged.share, loop.time() - self._begun_at
+        ):
             await asyncio.sleep(REPORT_SECONDS)
         self._set_switching(True)
-        await asyncio.sleep(2.0 * EARLY_SECONDS)
+        await asyncio.sleep(2.0 * EARLY_DRAIN_SECONDS)
         # The weights have stalled meanwhile; others may be as badly off.
         if staged.share < 1.0:
             self._set_switching(False)
@@ -215,7 +217,7 @@
             report = self.report
             if report is None or report.busy or not 0 < report.weights < staged.version:
                 continue
-            if not self.retirement.due(report.weights, awake_seconds()):
+            if not self.retirement.is_due(report.weights, awake_seconds()):
                 continue
             layer = staged.complete_layer(self._listed.layers)
             # What is complete is about to be ordered as a whole.
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -8,9 +8,9 @@
 from ..config.settings import Settings
 from ..core.errors import CodedError
 from ..core.instance import InstanceRole
-from ..decisions.chunk_evidence import ChunkEvidence
 from ..decisions.chunk_pacing import BYTES_PER_MEGABIT
-from ..decisions.inbound_pace import InboundPace
+from ..decisions.chunk_peer_health import ChunkPeerHealth
+from ..decisions.inbound_rate_limit import InboundRateLimit
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.member_view import MemberView
@@ -68,13 +68,13 @@
         self._watch = PeerWatch(self._probe_one, self._others, self._record_held_up)
         self._counts = counts
         self.peers = PeerChunkClient(client, settings.name, settings.region)
-        self.evidence = ChunkEvidence()
+        self.evidence = ChunkPeerHealth()
         self.holders: frozenset[str] = frozenset()
         self.relays: frozenset[str] = frozenset()
         self.late_seconds = 0.0
         self.revision = 0
         self._open = 0
-        self.pace = InboundPace(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
+        self.pace = InboundRateLimit(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
 
     def members(self) -> dict[str, MemberView]:
         """Returns the sidecars that are listed and the relays, by name."""
@@ -90,7 +90,7 @@
 
     def record_draw(self, seconds: float) -> None:
         """Records how long a chunk took to come from the origin, or how long none came."""
-        self._watch.responsiveness.record_draw(seconds)
+        self._watch.responsiveness.record_origin_fetch(seconds)
 
     async def ask(
         self, name: str, digest: str, wait: float = ASK_WAIT_SECONDS, rate: float = 0.0
@@ -118,7 +118,7 @@
             return None, None
         self._counts.asks += 1
         asked_at = self._now()
-        self.evidence.begin_ask(name, self._now())
+        self.evidence.record_request(name, self._now())
         holds_up = None if probe else functools.partial(self._holds_up, name, digest)
         self._open += not probe
         try:
@@ -161,7 +161,7 @@
         """Returns the peers against which nothing speaks now."""
         now = self._now()
         names = (name for name in self.members() if name != self._name)
-        return [name for name in names if not self.evidence.avoided(name, now)]
+        return [name for name in names if not self.evidence.is_skipped(name, now)]
 
     async def _holds_up(self, name: str, digest: str) -> bool:
         """Returns whether a request that waits at a peer is to go elsewhere."""
@@ -169,15 +169,15 @@
             # The platform has taken it off its list, and it cannot be probed any more. The
             # request would wait for five seconds at one that nobody else asks.
             return True
-        if self.evidence.deserves_patience(name):
+        if self.evidence.should_wait_for(name):
             return False
-        if self.evidence.silent(name, self._now()):
+        if self.evidence.is_skipped_as_slow(name, self._now()):
             return True
         return await self._watch.holds_up(name, digest)
 
     def _record_held_up(self, name: str, digest: str) -> None:
         """Takes that a peer is silent while others answer."""
-        if not self.evidence.avoided(name, self._now()):
+        if not self.evidence.is_skipped(name, self._now()):
             self._log.write(Event.CHUNK_PEER_PASSED_OVER, peer=name, chunk=digest, code="held_up")
         self.evidence.record_slow(name, self._now())
 
@@ -187,12 +187,12 @@
             self._counts.corrupt += 1
         else:
             self._counts.peer_failures += 1
-            if self.own_link_suspected() and self.evidence.excuse(name):
+            if self.own_link_suspected() and self.evidence.discard_failures(name):
                 # All peers would be passed over for ever longer, for what this link does to
                 # them, and the origin would be asked for the whole version once more.
                 return
             self._membership.report_failure(name)
-        known = self.evidence.avoided(name, self._now())
+        known = self.evidence.is_skipped(name, self._now())
         self.evidence.record_failure(name, self._now(), corrupt)
         if not known or corrupt:
             self._log.write(Event.CHUNK_PEER_PASSED_OVER, peer=name, chunk=digest, code=error.code)
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 import collections.abc
 
-from ..decisions.peer_responsiveness import PROMPT_SECONDS, PeerResponsiveness, find_silent
+from ..decisions.peer_responsiveness import ANSWER_MARGIN_SECONDS, PeerResponsiveness, find_silent
 from .chunk_state import ChunkState
 
 Probe = collections.abc.Callable[[str, str], collections.abc.Awaitable[ChunkState | None]]
@@ -37,7 +37,7 @@
         pending = set(self._probes.values())
         while pending and all(seconds is None for seconds in self._answers.values()):
             _, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-        ends = self.elapsed + PROMPT_SECONDS
+        ends = self.elapsed + ANSWER_MARGIN_SECONDS
         # A wait may end a little before its time, and would then blame nobody.
         while pending and (left := ends - self.elapsed) > 0:
             _, pending = await asyncio.wait(pending, timeout=left)
@@ -112,7 +112,7 @@
         return [probes.read_state(name) for name in names]
 
     async def _look(self, name: str, digest: str) -> bool:
-        witnesses = self.responsiveness.choose_witnesses(name, self._others())
+        witnesses = self.responsiveness.choose_reference_peers(name, self._others())
         _, silent = await self._play_round([name, *witnesses], digest)
         return name in silent
 
@@ -124,7 +124,7 @@
         finally:
             probes.end()
         now = asyncio.get_running_loop().time()
-        self.responsiveness.note_round(probes.answers, probes.elapsed, now)
+        self.responsiveness.record_round(probes.answers, probes.elapsed, now)
         for name in silent:
             self._on_held_up(name, digest)
         return probes, silent
