--- a/wasabidrum/decisions/admission_queue_test.py
+++ b/wasabidrum/decisions/admission_queue_test.py
@@ -1,4 +1,4 @@
-"""Properties of admission that hold whatever the order of events."""
+"""Tests of admission control, among them properties that hold for any order of events."""
 
 import random
 import unittest
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from .admission_queue import LONGEST_WAIT_SECONDS, AdmissionQueue
+from .admission_queue import MAX_WAIT_SECONDS, AdmissionQueue
 from .ticket import Ticket, TicketState
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
@@ -22,14 +22,14 @@
 
 
 class InterleavingTest(unittest.TestCase):
-    """Any interleaving of arrivals, ends, cancellations, expiries and limits."""
+    """Any interleaving of arrivals, ends, cancellations, expiries and limit changes."""
 
     @SETTINGS
     @hypothesis.given(EVENTS)
     def test_no_request_is_lost_or_answered_twice(self, events: list) -> None:
-        """Callers leave, engines end, limits fall, all in the same instant. A request that
-        is forgotten leaves its caller waiting for ever; one answered twice frees a place
-        that it does not have, and the limit no longer holds."""
+        """Callers leave, requests end and limits fall at the same moment. A lost request would
+        leave its caller waiting forever; one that is answered twice would free a slot that it
+        does not hold, so that the limit would be exceeded."""
         queue = AdmissionQueue()
         queue.set_limit(3.0)
         now = 0.0
@@ -66,25 +66,25 @@
             self.assertGreaterEqual(queue.running, 0)
             self.assertLessEqual(queue.running, max(before, limit, 1 if limit else 0))
             for ticket in waiting:
-                self.assertLessEqual(now - ticket.queued_at, LONGEST_WAIT_SECONDS[ticket.priority])
+                self.assertLessEqual(now - ticket.queued_at, MAX_WAIT_SECONDS[ticket.priority])
                 self.assertGreater(ticket.deadline, now)
         self.assertTrue(all(times == 1 for times in answered.values()))
 
 
 class FairnessTest(unittest.TestCase):
-    """What workspaces that always wait are served, for their shares."""
+    """Service of workspaces that always have waiting requests, in proportion to their shares."""
 
     @SETTINGS
     @hypothesis.given(
         strategies.lists(strategies.sampled_from((0.5, 1.0, 2.0, 4.0)), min_size=2, max_size=5),
         strategies.integers(0, 1000),
     )
-    def test_service_by_share_differs_by_one_largest_request_at_most(
+    def test_service_per_share_differs_by_the_largest_requests_at_most(
         self, shares: list[float], seed: int
     ) -> None:
-        """Workspaces of different shares send requests of different sizes, all more than
-        they can get. Without the bound the ones with many small requests are starved by one
-        with few large ones, or the other way round."""
+        """Workspaces with different shares send requests of different sizes, all more than
+        they can be served. Without the bound, workspaces with many small requests would be
+        starved by one with few large requests, or the reverse."""
         rng = random.Random(seed)
         queue = AdmissionQueue(reserved_fraction=0.0)
         queue.set_limit(1.0)
@@ -110,11 +110,11 @@
 
 
 class ClassesTest(unittest.TestCase):
-    """Charges before reads, with room kept for them."""
+    """Charges go before reads and have reserved capacity."""
 
-    def test_a_flood_of_reads_leaves_room_for_a_charge(self) -> None:
-        """Phones poll balances while the tally service is slow. If reads take every place, the
-        next charge waits for them, or is refused, and a shop stays unpaid."""
+    def test_a_burst_of_reads_leaves_room_for_a_charge(self) -> None:
+        """Phones poll balances while the tally service is slow. If reads took all slots, the
+        next charge would wait for them or be refused, and a shop would not be paid."""
         queue = AdmissionQueue()
         queue.set_limit(10.0)
         for number in range(100):
@@ -125,8 +125,8 @@
         self.assertEqual(queue.running, 10)
 
     def test_a_waiting_charge_goes_before_waiting_reads(self) -> None:
-        """Every place is taken when a charge arrives behind fifty reads. Served in order of
-        arrival, the shopkeeper waits for all of them."""
+        """All slots are taken when a charge arrives after fifty reads. In order of arrival, the
+        shopkeeper would wait for all of them."""
         queue = AdmissionQueue(reserved_fraction=0.0)
         queue.set_limit(1.0)
         running = Ticket("r", "w", 1, 1.0, 1.0, 100.0)
--- a/wasabidrum/decisions/endpoint_assignment.py
+++ b/wasabidrum/decisions/endpoint_assignment.py
@@ -1,20 +1,20 @@
-"""Which engines an entry sends to first, so that entries do not fill the same ones together.
+"""Assigns each engine to one entry, so that entries do not all fill the same engines.
 
-Load pattern: twelve entries place on the same two dozen engines by reports that are a third of
-a second old. Each sees a twelfth of what is sent, so that all believe that there is room, and
-fill the same engines at once. What an entry has sent itself it knows exactly and at once: so
-each engine has one entry of its data centre that sends there first, and whose count of it is
-nearly the whole truth. The others send there only when their own engines would take
-OTHERS_SECONDS longer.
+Load pattern: twelve entries send to the same 24 engines, using load reports that are a third of
+a second old. Each entry sees a twelfth of the requests, so all of them believe that there is
+room and fill the same engines at once. An entry knows its own requests exactly and without
+delay. Therefore each engine is assigned to one entry of its data centre, which sends there
+first, and whose own count is nearly all of the engine's load. Other entries send there only if
+their own engines would take UNASSIGNED_PENALTY_SECONDS longer.
 
-Nobody is asked or told: entries know each other, and all assign the engines alike. Where two
-entries know different ones for a moment, an engine has two that prefer it or none, which is no
-worse than before.
+No messages are needed: entries know each other, and all of them compute the same assignment.
+While two entries know different sets of entries, an engine may have two entries that prefer it,
+or none, which is no worse than without an assignment.
 """
 
 import collections.abc
 
-OTHERS_SECONDS = 0.08
+UNASSIGNED_PENALTY_SECONDS = 0.08
 
 
 def assign_endpoints(
@@ -22,12 +22,12 @@
     entries: collections.abc.Sequence[tuple[str, int]],
     own: tuple[str, int],
 ) -> frozenset[str]:
-    """Returns the endpoints that one entry sends to first.
+    """Returns the endpoints that are assigned to one entry.
 
     Args:
       endpoint_ids: The endpoints of one service in one data centre.
-      entries: The entries of that data centre, in an order that all agree on.
+      entries: The entries of that data centre, in the same order at each of them.
     """
-    place = entries.index(own)
+    position = entries.index(own)
     ordered = sorted(endpoint_ids)
-    return frozenset(ordered[place :: len(entries)])
+    return frozenset(ordered[position :: len(entries)])
--- a/wasabidrum/decisions/endpoint_assignment_test.py
+++ b/wasabidrum/decisions/endpoint_assignment_test.py
@@ -1,4 +1,4 @@
-"""Engines dealt out to entries."""
+"""Tests of the assignment of engines to entries, of send rates and of forecast corrections."""
 
 import unittest
 
@@ -9,33 +9,33 @@
 ENTRIES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
 
 
-class DealTest(unittest.TestCase):
-    """Each engine has one entry that sends there first."""
+class AssignmentTest(unittest.TestCase):
+    """Each engine is assigned to one entry."""
 
-    def test_every_engine_belongs_to_one_entry_and_shares_are_even(self) -> None:
-        """Two entries that both send to an engine first each count half of what it has to do;
-        an engine that is nobody's stands idle while callers are refused."""
+    def test_every_engine_is_assigned_once_and_shares_are_even(self) -> None:
+        """If an engine were assigned to two entries, each would count half of its load; an
+        unassigned engine would idle while callers are refused."""
         engines = [f"i-{n}" for n in range(8)]
         shares = [assign_endpoints(engines, ENTRIES, own) for own in ENTRIES]
         self.assertEqual(sorted(name for share in shares for name in share), engines)
         sizes = [len(share) for share in shares]
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
-    def test_the_order_in_which_engines_are_known_does_not_matter(self) -> None:
+    def test_the_order_of_engines_does_not_matter(self) -> None:
         engines = [f"i-{n}" for n in range(8)]
         self.assertEqual(
             assign_endpoints(engines, ENTRIES, ENTRIES[1]),
             assign_endpoints(reversed(engines), ENTRIES, ENTRIES[1]),
         )
 
-    def test_an_entry_alone_has_all(self) -> None:
+    def test_a_single_entry_is_assigned_all_engines(self) -> None:
         self.assertEqual(assign_endpoints(["a", "b"], ENTRIES[:1], ENTRIES[0]), {"a", "b"})
 
 
 class SendRateTest(unittest.TestCase):
-    """Requests a second."""
+    """The measured rate of requests per second."""
 
-    def test_it_follows_a_steady_load_and_forgets_it(self) -> None:
+    def test_it_follows_a_steady_load_and_decays_without_load(self) -> None:
         rate = SendRate()
         for step in range(400):
             rate.take(step * 0.05)
@@ -44,11 +44,11 @@
 
 
 class ForecastBiasTest(unittest.TestCase):
-    """Corrections by what was seen."""
+    """Corrections of forecasts by measured first events."""
 
-    def test_late_first_events_lengthen_forecasts_of_their_length_only(self) -> None:
-        """Engines have a queue that nobody's forecast knows of. Those forecast without a queue
-        are right, and must not be refused for it."""
+    def test_late_first_events_correct_only_forecasts_of_similar_length(self) -> None:
+        """Engines have queues that the forecasts do not include. Forecasts without a queue are
+        right, and requests must not be refused because the longer ones are wrong."""
         bias = ForecastBias()
         for step in range(50):
             bias.take(0.4, 0.6, step * 0.02)
@@ -57,15 +57,16 @@
         self.assertAlmostEqual(corrections[length_of(0.1)], 0.0, delta=0.01)
         self.assertGreater(corrections[length_of(0.4)], 0.1)
 
-    def test_engines_that_are_quicker_than_their_figures_are_sent_more(self) -> None:
+    def test_early_first_events_shorten_forecasts(self) -> None:
         bias = ForecastBias()
         for step in range(50):
             bias.take(0.4, 0.28, step * 0.02)
         self.assertLess(bias.corrections(1.0)[length_of(0.4)], -0.06)
 
-    def test_a_correction_is_bounded_and_fades(self) -> None:
-        """One engine stands still for a minute. An entry that took its word for all would
-        refuse everything, see no first events, and never learn that the others work."""
+    def test_a_correction_is_bounded_and_decays(self) -> None:
+        """One engine stalls for a minute. Without a bound, an entry would apply its delay to
+        all engines, refuse all requests, see no first events, and never learn that the other
+        engines work."""
         bias = ForecastBias()
         for _ in range(100):
             bias.take(0.4, 60.0, 1.0)
--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -1,15 +1,16 @@
-"""Which endpoint a request goes to, or that it is refused at once.
-
-Load pattern: callers send more than the engines can carry. Whoever waits in an engine's queue
-gets a first event that is late for its caller, and so does everyone behind; engines are busy
-with answers that are worth little to anyone. Another pattern: one engine has just come back or
-looked idle, every entry sends to it, and it is full while the others have room.
-
-Each endpoint's first event is forecast from what it has to do. The one that is soonest gets the
-request, with a handicap for those that other entries send to first (endpoint_assignment.py) and a
-small one for those in other regions, whose answers cross thin links. Where even the soonest is too
-late, the request is refused on arrival, with a time at which room is expected: waiting would
-only make it later.
+"""Chooses the endpoint for a request, or rejects the request on arrival.
+
+Load pattern: callers send more requests than the engines can process. Each request that waits
+in an engine's queue gets its first event too late for its caller, and so does every request
+behind it; the engines spend their time on answers of little use. Another pattern: one engine
+has just returned or looked idle, all entries send to it, and it is full while others have room.
+
+The time to the first event is forecast for each endpoint from its current work. The request
+goes to the endpoint with the earliest forecast, after penalties: for endpoints that are
+assigned to another entry (endpoint_assignment.py), and a small one for endpoints in other
+regions, whose answers cross thin links. If even the earliest forecast is too late, the request
+is rejected on arrival with a Retry-After at which room is expected; waiting would only delay
+it further.
 """
 
 import collections.abc
@@ -18,58 +19,60 @@
 
 from ..core.listed_endpoint import ListedEndpoint
 from ..core.published import EngineFigures
-from .endpoint_assignment import OTHERS_SECONDS
+from .endpoint_assignment import UNASSIGNED_PENALTY_SECONDS
 from .endpoint_health import Health
 from .endpoint_load import EndpointLoad
 from .engine_forecast import first_event_seconds, run_seconds
 from .forecast_bias import Corrections, length_of
 
 LATEST_FRACTION = 0.88
-OTHER_REGION_SECONDS = 0.03
+OTHER_REGION_PENALTY_SECONDS = 0.03
 JITTER = 0.1
-FAILURE_SECONDS = 0.5
-SHORTEST_RETRY_SECONDS = 0.3
-OVERLOAD_SECONDS = 6.0
-LONGEST_RETRY_SECONDS = 3.0
-# Where no endpoint holds what is asked for: versions and restarts take some seconds.
-NOBODY_RETRY_SECONDS = 2.5
+FAILURE_PENALTY_SECONDS = 0.5
+MIN_RETRY_SECONDS = 0.3
+OVERLOAD_RETRY_SECONDS = 6.0
+MAX_RETRY_SECONDS = 3.0
+# Used if no endpoint has what the request needs: version switches and restarts take seconds.
+NO_ENDPOINT_RETRY_SECONDS = 2.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that could take a request, and what is known of its work.
+    """An endpoint that could process a request, and its estimated load.
 
     Attributes:
-      near: It stands in the region of the entry.
-      first: No other entry sends there before this one does.
-      late: By how many seconds requests have lately begun there later than forecast.
+      near: Whether it is in the region of the entry.
+      assigned: Whether this entry is the one that sends to it first.
+      lateness: How many seconds later than forecast requests have recently started there.
     """
 
     endpoint: ListedEndpoint
     load: EndpointLoad
     near: bool
-    first: bool = True
-    late: float = 0.0
+    assigned: bool = True
+    lateness: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request asks, and what is known beside the endpoints.
+    """What a request needs, and the state of the service that does not depend on the endpoint.
 
     Attributes:
-      prompt_tokens: Zero where the caller does not say.
-      latest: The seconds beyond which a first event is too late to be worth its place.
-      risky: The request may not be repeated, so it is no probe where anything else can be.
-      others_rate: Requests a second that other entries send to each endpoint.
-      corrections: What first events took more than forecast lately, by the forecast's length.
-      refused_share: The part of requests that was refused lately.
-      moved: It was given up at another endpoint.
-      leaves_in: The seconds until its caller leaves.
+      prompt_tokens: Zero if the caller does not state it.
+      max_first_event_seconds: A first event later than this is not worth a slot.
+      non_repeatable: The request must not be repeated, so it serves as a probe only if no
+        healthy endpoint is available.
+      others_rate: Requests per second that other entries send to each endpoint.
+      corrections: By how much first events have recently exceeded their forecast, indexed by
+        the length of the forecast.
+      refused_share: Fraction of recent requests that were refused.
+      moved: Whether the request was recalled from another endpoint.
+      leaves_in: Seconds until the caller gives up.
     """
 
     prompt_tokens: int
-    latest: float
-    risky: bool = False
+    max_first_event_seconds: float
+    non_repeatable: bool = False
     others_rate: float = 0.0
     corrections: Corrections = ()
     refused_share: float = 0.0
@@ -79,16 +82,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes.
+    """The endpoint for a request, or why there is none.
 
     Attributes:
-      candidate: None where it is refused.
-      seconds: The soonest first event that was forecast; infinite where nobody could take it.
-      retry_after: Where it is refused, when room is expected.
-      known: Endpoints that could take it by what they hold.
-      able: Those of them that are healthy or due for a probe.
-      report_age: The seconds since the oldest report of their load; zero where none was used.
-      raw: The first event of the one chosen by the figures alone, before any correction.
+      candidate: None if the request is refused.
+      seconds: Earliest forecast of the first event; infinite if no endpoint is available.
+      retry_after: Seconds until room is expected, if the request is refused.
+      known: Number of endpoints that have what the request needs.
+      able: How many of them are healthy or due for a probe.
+      report_age: Age in seconds of their oldest load report, set if the request is refused for
+        overload; else zero.
+      raw: Forecast for the chosen endpoint from the published figures, before corrections.
     """
 
     candidate: Candidate | None
@@ -103,16 +107,20 @@
 def forecast(
     candidate: Candidate, figures: EngineFigures | None, demand: Demand, now: float
 ) -> float:
-    """Returns the seconds until a request's first event, or its whole answer, by the figures."""
+    """Returns the forecast seconds until a request's first event.
+
+    For a plain service, without published figures, it is the time until the complete answer.
+    """
     load = candidate.load
     if figures is not None:
-        others_rate = 0.0 if candidate.first else demand.others_rate
+        others_rate = 0.0 if candidate.assigned else demand.others_rate
         work = load.work(now, figures.usual_prompt, others_rate)
         return first_event_seconds(figures, work, demand.prompt_tokens)
     work = load.work(now)
     waiting = max(0.0, work.requests + 1.0 - candidate.endpoint.slots)
     turns = waiting / max(1, candidate.endpoint.slots)
-    # Below its slots an endpoint that runs fewer is the better one still: some slow down.
+    # Even below its number of slots, an endpoint that runs fewer requests is preferred, because
+    # some endpoints slow down under load.
     busy = work.requests / max(1, candidate.endpoint.slots)
     return load.run_seconds * (1.0 + turns + 0.5 * min(1.0, busy))
 
@@ -124,43 +132,45 @@
     now: float,
     rng: random.Random,
 ) -> Choice:
-    """Returns where a request goes."""
+    """Returns the endpoint for a request, or a refusal."""
     able = [c for c in candidates if c.load.health.may_take(now)]
     healthy = [c for c in able if c.load.health.health is Health.HEALTHY]
-    # A probe is worth a request only now and then; one that may not be repeated never is.
-    # What was moved has waited at one stalled endpoint already.
-    pool = healthy if demand.moved or (demand.risky and healthy) else able
+    # A request may be used as a probe of an unhealthy endpoint, but not one that must not be
+    # repeated while a healthy endpoint is available, and never one that was moved: it has
+    # already waited at a stalled endpoint.
+    pool = healthy if demand.moved or (demand.non_repeatable and healthy) else able
     known = len(candidates)
     if not pool:
-        return Choice(None, float("inf"), retry_when_probed(candidates, now), known)
+        return Choice(None, float("inf"), retry_after_next_probe(candidates, now), known)
     ranked = []
     for candidate in pool:
         raw = forecast(candidate, figures, demand, now)
         seconds = raw + (demand.corrections[length_of(raw)] if demand.corrections else 0.0)
-        # Others fill what this entry does not send to first; it stays out while that is near.
-        owed = seconds if candidate.first else seconds + OTHERS_SECONDS
-        handicap = 0.0 if candidate.near else OTHER_REGION_SECONDS
-        handicap += FAILURE_SECONDS * candidate.load.failures.value(now)
-        order = owed * (1.0 + JITTER * rng.random()) + handicap
-        ranked.append(Rank(order, owed, raw, candidate))
-    in_time = [rank for rank in ranked if is_in_time(rank, demand)]
+        # Endpoints assigned to other entries are filled by those entries. This entry uses them
+        # only if its own endpoints would take noticeably longer.
+        penalized = seconds if candidate.assigned else seconds + UNASSIGNED_PENALTY_SECONDS
+        penalty = 0.0 if candidate.near else OTHER_REGION_PENALTY_SECONDS
+        penalty += FAILURE_PENALTY_SECONDS * candidate.load.failures.value(now)
+        order = penalized * (1.0 + JITTER * rng.random()) + penalty
+        ranked.append(RankedCandidate(order, penalized, raw, candidate))
+    in_time = [rank for rank in ranked if starts_in_time(rank, demand)]
     if not in_time:
         soonest = min(rank.seconds for rank in ranked)
-        too_late = max(0.0, soonest - demand.latest)
-        retry = retry_when_room(figures, too_late, demand.refused_share)
+        excess_seconds = max(0.0, soonest - demand.max_first_event_seconds)
+        retry = retry_after_overload(figures, excess_seconds, demand.refused_share)
         return Choice(None, soonest, retry, known, len(pool), oldest_report(pool, now))
     best = min(in_time, key=lambda rank: rank.order)
     return Choice(best.candidate, best.seconds, 0.0, known, len(pool), raw=best.raw)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rank:
-    """A candidate's place among others.
+class RankedCandidate:
+    """A candidate with its forecast.
 
     Attributes:
-      order: The lowest is chosen.
-      seconds: The first event as it is held against the latest one.
-      raw: The first event by the figures alone.
+      order: Sort key; the candidate with the lowest value is chosen.
+      seconds: Forecast that is compared with the latest useful first event.
+      raw: Forecast from the published figures alone.
     """
 
     order: float
@@ -169,38 +179,40 @@
     candidate: Candidate
 
 
-def is_in_time(rank: Rank, demand: Demand) -> bool:
-    """Returns whether a request begins soon enough at an endpoint to be worth its place.
+def starts_in_time(rank: RankedCandidate, demand: Demand) -> bool:
+    """Returns whether a request would start early enough at an endpoint to be worth a slot.
 
-    What is moved late in its caller's time may not reach an endpoint later than forecast: it would
-    begin there when its caller has left, and the reset would come behind it.
+    A moved request must also start before its caller gives up if the endpoint is as late as it
+    recently was. Otherwise it could start after the caller has left, because the reset of the
+    stream travels behind the request.
     """
-    if rank.seconds > demand.latest:
+    if rank.seconds > demand.max_first_event_seconds:
         return False
-    return not demand.moved or rank.seconds + rank.candidate.late < demand.leaves_in
+    return not demand.moved or rank.seconds + rank.candidate.lateness < demand.leaves_in
 
 
 def oldest_report(candidates: collections.abc.Sequence[Candidate], now: float) -> float:
-    """Returns the seconds since the oldest report of load among those that reported at all."""
+    """Returns the age in seconds of the oldest load report; zero if there are no reports."""
     ages = (candidate.load.report_age(now) for candidate in candidates)
     return round(max((age for age in ages if age < float("inf")), default=0.0), 3)
 
 
-def retry_when_room(
-    figures: EngineFigures | None, too_late: float, refused_share: float = 0.0
+def retry_after_overload(
+    figures: EngineFigures | None, excess_seconds: float, refused_share: float = 0.0
 ) -> float:
-    """Returns when a caller that is refused for want of room should come back, in seconds.
+    """Returns after how many seconds a caller that is refused for overload should retry.
 
     Args:
-      refused_share: The part of requests that was refused lately.
+      excess_seconds: By how much the earliest forecast exceeds the latest useful first event.
+      refused_share: Fraction of recent requests that were refused.
     """
     usual = run_seconds(figures, figures.slots) / figures.slots if figures is not None else 0.0
-    seconds = SHORTEST_RETRY_SECONDS + too_late + usual + OVERLOAD_SECONDS * refused_share
-    return min(LONGEST_RETRY_SECONDS, seconds)
+    seconds = MIN_RETRY_SECONDS + excess_seconds + usual + OVERLOAD_RETRY_SECONDS * refused_share
+    return min(MAX_RETRY_SECONDS, seconds)
 
 
-def retry_when_probed(candidates: collections.abc.Sequence[Candidate], now: float) -> float:
-    """Returns when an endpoint will be tried again, where all are out of service."""
+def retry_after_next_probe(candidates: collections.abc.Sequence[Candidate], now: float) -> float:
+    """Returns after how many seconds to retry if no endpoint is healthy or due for a probe."""
     waits = [candidate.load.health.probe_at - now for candidate in candidates]
-    soonest = min(waits, default=NOBODY_RETRY_SECONDS)
-    return min(LONGEST_RETRY_SECONDS, max(SHORTEST_RETRY_SECONDS, soonest))
+    soonest = min(waits, default=NO_ENDPOINT_RETRY_SECONDS)
+    return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, soonest))
--- a/wasabidrum/decisions/endpoint_health.py
+++ b/wasabidrum/decisions/endpoint_health.py
@@ -1,13 +1,14 @@
-"""Which endpoints are slow or failing, and when they are tried again.
+"""Detects slow and failing endpoints and decides when to probe them again.
 
-Load pattern: one endpoint decodes ten times slower than its peers, or refuses everything in
-a millisecond. It is not dead: it answers its health checks. Requests pile up at the slow
-one; the one that refuses looks idle, so that least-loaded routing sends it everything, and
-callers see errors while healthy endpoints have room.
+Load pattern: one endpoint decodes ten times slower than its peers, or rejects every request
+within a millisecond. It still passes its health checks. Requests pile up at the slow endpoint;
+the rejecting one looks idle, so least-loaded routing sends it all requests, and callers get
+errors while healthy endpoints have room.
 
-An endpoint is held to its peers' median seconds per token, from tokens as they stream, and
-to silence in the middle of answers. Slow or failing, it loses its share at once and gets one
-probe at a time, at growing intervals with jitter; probes answered well bring it back.
+An endpoint's seconds per token, measured while tokens stream, are compared with the median of
+its peers, and an answer that stalls partway counts against it. A slow or failing endpoint is
+ejected at once and receives one probe request at a time, at growing intervals with jitter.
+Successful probes return it to service.
 """
 
 import enum
@@ -17,17 +18,17 @@
 
 SLOW_RATIO = 3.0
 HEALTHY_RATIO = 2.0
-TOKENS_JUDGED = 4
+MIN_TOKENS = 4
 SILENT_RATIO = 20.0
-SHORTEST_SILENCE_SECONDS = 0.5
-SILENCE_CONFIRMED_SECONDS = 0.1
-FAILURES_JUDGED = 2
+MIN_SILENCE_SECONDS = 0.5
+SILENCE_CONFIRMATION_SECONDS = 0.1
+FAILURES_TO_EJECT = 2
 FIRST_PROBE_SECONDS = 0.5
 SAMPLE_WEIGHT = 0.3
 
 
 class Health(enum.Enum):
-    """What an endpoint may be given."""
+    """The health of an endpoint, which determines what requests it receives."""
 
     HEALTHY = "healthy"
     SLOW = "slow"
@@ -35,10 +36,10 @@
 
 
 class EndpointHealth:
-    """The verdict on one endpoint."""
+    """Health of one endpoint as this entry sees it."""
 
-    __slots__ = ("_health", "_token_seconds", "_samples", "_failures", "_tries")
-    __slots__ += ("_probe_at", "_probing", "_silence_seen_at", "_slow_since", "_slow_at")
+    __slots__ = ("_health", "_token_seconds", "_samples", "_failures", "_probe_attempts")
+    __slots__ += ("_probe_at", "_probing", "_silence_detected_at", "_slow_since", "_last_slow_at")
     __slots__ += ("_rng",)
 
     def __init__(self, rng: random.Random) -> None:
@@ -46,43 +47,43 @@
         self._token_seconds = 0.0
         self._samples = 0
         self._failures = 0
-        self._tries = 0
+        self._probe_attempts = 0
         self._probe_at = 0.0
         self._probing = False
-        self._silence_seen_at = float("-inf")
+        self._silence_detected_at = float("-inf")
         self._slow_since: float | None = None
-        self._slow_at = float("-inf")
+        self._last_slow_at = float("-inf")
         self._rng = rng
 
     @property
     def health(self) -> Health:
-        """The verdict now."""
+        """The current health."""
         return self._health
 
     @property
     def token_seconds(self) -> float:
-        """Seconds per token lately; zero where too few were seen."""
-        return self._token_seconds if self._samples >= TOKENS_JUDGED else 0.0
+        """Average of recent seconds per token; zero if too few tokens were received."""
+        return self._token_seconds if self._samples >= MIN_TOKENS else 0.0
 
     @property
     def probe_at(self) -> float:
-        """When the next probe is due, where the endpoint is not healthy."""
+        """When the next probe is due; meaningful only while the endpoint is not healthy."""
         return self._probe_at
 
     def may_take(self, now: float) -> bool:
-        """Returns whether a request may be sent: any to a healthy one, else one as a probe."""
+        """Returns whether a request may be sent there, as a probe if it is not healthy."""
         if self._health is Health.HEALTHY:
             return True
         return not self._probing and now >= self._probe_at
 
     def placed(self) -> None:
-        """Counts a request that was sent here."""
+        """Records that a request was sent there."""
         if self._health is not Health.HEALTHY:
             self._probing = True
 
     def record_tokens(self, tokens: int, seconds: float) -> None:
-        """Records how long some tokens took."""
-        for _ in range(min(tokens, TOKENS_JUDGED)):
+        """Records how long a number of tokens took together."""
+        for _ in range(min(tokens, MIN_TOKENS)):
             self._samples += 1
             sample = seconds / tokens
             if self._samples == 1:
@@ -90,43 +91,52 @@
             self._token_seconds += SAMPLE_WEIGHT * (sample - self._token_seconds)
 
     def is_slower(self, token_seconds: float) -> bool:
-        """Returns whether tokens take so much longer than elsewhere that callers notice."""
+        """Returns whether tokens take more than SLOW_RATIO times as long as at other endpoints.
+
+        Args:
+          token_seconds: The seconds per token at other endpoints.
+        """
         return self.token_seconds > SLOW_RATIO * token_seconds
 
     def record_pace(self, median: float, now: float) -> bool:
-        """Holds the endpoint's pace to its peers'; returns whether the verdict changed.
+        """Compares the endpoint's speed with its peers; returns whether its health changed.
 
         Args:
-          median: The seconds per token of its peers now; zero where there are none.
+          median: The current median seconds per token of its peers; zero if there are none.
         """
         if median <= 0.0 or self._health is not Health.HEALTHY or not self.is_slower(median):
             self._slow_since = None
             return False
-        # All streams of an endpoint tell of the same short pause, so that many slow tokens are
-        # no proof of slowness. One that is slow still is after the time of some tokens; a time
-        # without any, as between two texts, proves nothing and begins it anew.
-        idle = is_silent(now - self._slow_at, median)
+        # One short pause shows up in all streams of an endpoint at once, so many slow tokens
+        # do not prove that it is slow. It must stay slow for the time that several tokens
+        # take. A period without tokens, as between two answers, proves nothing and restarts
+        # the measurement.
+        idle = is_silent(now - self._last_slow_at, median)
         if self._slow_since is None or idle:
             self._slow_since = now
-        self._slow_at = now
-        if now - self._slow_since < TOKENS_JUDGED * SLOW_RATIO * median:
+        self._last_slow_at = now
+        if now - self._slow_since < MIN_TOKENS * SLOW_RATIO * median:
             return False
         self._eject(Health.SLOW, now)
         return True
 
     def record_silence(self, seconds: float, median: float, now: float) -> bool:
-        """Records for how long answers in progress have stood still."""
+        """Records for how long answers in progress have stalled; returns whether health changed.
+
+        The silence must be seen twice: if the entry itself was suspended, tokens may already
+        wait unread in its sockets.
+        """
         if not is_silent(seconds, median) or self._health is not Health.HEALTHY:
             return False
-        if self._silence_seen_at < now - seconds:
-            self._silence_seen_at = now
-        if now - self._silence_seen_at < SILENCE_CONFIRMED_SECONDS:
+        if self._silence_detected_at < now - seconds:
+            self._silence_detected_at = now
+        if now - self._silence_detected_at < SILENCE_CONFIRMATION_SECONDS:
             return False
         self._eject(Health.SLOW, now)
         return True
 
     def record_success(self, median: float) -> bool:
-        """Records a whole answer; returns whether the verdict changed."""
+        """Records a complete answer; returns whether the health changed."""
         self._failures = 0
         self._probing = False
         if self._health is Health.HEALTHY:
@@ -134,39 +144,48 @@
         if self._health is Health.SLOW and self.token_seconds > HEALTHY_RATIO * median > 0.0:
             return False
         self._health = Health.HEALTHY
-        self._tries = 0
+        self._probe_attempts = 0
         return True
 
     def record_failure(self, now: float) -> bool:
-        """Records a refusal or a failure that may be the endpoint's own; as above."""
+        """Records a rejection or a failure that the endpoint may have caused.
+
+        Returns:
+          Whether the health changed.
+        """
         self._failures += 1
         if self._health is not Health.HEALTHY:
             self._probing = False
             self._schedule_probe(now)
             return False
-        if self._failures < FAILURES_JUDGED:
+        if self._failures < FAILURES_TO_EJECT:
             return False
         self._eject(Health.FAILING, now)
         return True
 
     def probe_ended(self, now: float) -> None:
-        """Ends a probe that told nothing, such as one that its caller cancelled."""
+        """Ends a probe without a result, such as one that its caller cancelled."""
         if self._probing:
             self._probing = False
             self._schedule_probe(now)
 
-    def _eject(self, verdict: Health, now: float) -> None:
-        self._health = verdict
+    def _eject(self, health: Health, now: float) -> None:
+        self._health = health
         self._slow_since = None
         self._probing = False
         self._schedule_probe(now)
 
     def _schedule_probe(self, now: float) -> None:
-        self._tries += 1
-        delay = backoff.delay_before(self._tries, self._rng, FIRST_PROBE_SECONDS)
+        self._probe_attempts += 1
+        delay = backoff.delay_before(self._probe_attempts, self._rng, FIRST_PROBE_SECONDS)
         self._probe_at = now + delay
 
 
 def is_silent(seconds: float, median: float) -> bool:
-    """Returns whether answers in progress that stand still for so long are more than slow."""
-    return seconds > max(SHORTEST_SILENCE_SECONDS, SILENT_RATIO * median)
+    """Returns whether answers in progress have stalled for longer than slowness explains.
+
+    Args:
+      seconds: How long nothing has arrived.
+      median: The usual seconds between two arrivals.
+    """
+    return seconds > max(MIN_SILENCE_SECONDS, SILENT_RATIO * median)
--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -1,16 +1,18 @@
-"""What one entry knows of the work at one endpoint: its own exactly, the others' by reports.
-
-Load pattern: several entries place on the same endpoints, and reports of load are some hundred
-milliseconds old. Followed alone, a report sends every entry to the endpoint that looked idle;
-ignored, each entry counts only its own requests and fills endpoints that others have filled.
-
-A report counts for what others run, as of when it was made, which is some time before it
-arrives; what this entry sent and saw end is counted at once. What the others have sent since,
-nobody has told: callers are spread evenly over entries, so that the others send as much as this
-one does, and spread it over all engines alike. Replayed with three entries, six engines and
-reports 0.2 s old at one and a half times what the engines carry (endpoint_choice_test.py),
-requests with a first event in time rose from 31 to 39 a second by counting by rates what the
-others have sent, and not by this entry's own sends to the same engine.
+"""Estimates the load of one endpoint: this entry's requests exactly, others' from reports.
+
+Load pattern: several entries send to the same endpoints, and load reports are several hundred
+milliseconds old. If reports alone counted, each report would send all entries to the endpoint
+that looked idle. If reports were ignored, each entry would count only its own requests and
+fill endpoints that other entries have already filled.
+
+A report gives the requests of other entries at the time it was made, which is some time before
+it arrives. Requests that this entry sends, and their ends, count immediately. What the other
+entries have sent since the report is not known and is estimated: callers are spread evenly over
+the entries, so each of the others sends as much as this one, spread equally over all engines.
+In a replay with three entries, six engines and reports 0.2 s old at one and a half times the
+engines' capacity (endpoint_choice_test.py), estimating the others' requests from these rates,
+and not from this entry's own requests to the same engine, raised the requests whose first event
+was in time from 31 to 39 per second.
 """
 
 import collections
@@ -21,121 +23,132 @@
 from .failure_rate import FailureRate
 from .recent_lateness import RecentLateness
 
-TRUSTED_SECONDS = 1.5
-# More than an entry sends to one engine between two reports.
-MOST_SENT = 64
+REPORT_LIFETIME_SECONDS = 1.5
+# More requests than an entry sends to one engine between two reports.
+MAX_UNREPORTED = 64
 SAMPLE_WEIGHT = 1.0 / 16.0
-FIRST_RUN_SECONDS = 0.03
+INITIAL_RUN_SECONDS = 0.03
 
 
 class EndpointLoad:
-    """Work, health and speed of one run of an endpoint.
+    """Load, health and speed of one run of an endpoint, from its start to its end.
 
     Attributes:
-      own: Requests of this entry in progress there.
-      unread: Prompt tokens of those that have had no event yet.
-      failures: How often requests failed there, lately.
-      lateness: By how much requests lately began there later than forecast.
-      run_seconds: How long a request of a plain service takes, on average.
+      own: Number of this entry's requests in progress there.
+      unread_tokens: Prompt tokens of those that have had no event yet.
+      failures: Recent failure rate there.
+      lateness: How much later than forecast requests have recently started there.
+      run_seconds: Average time for a request of a plain service.
     """
 
-    __slots__ = ("health", "own", "unread", "failures", "run_seconds", "lateness")
-    __slots__ += ("_others", "_reported_at", "_made_at", "_pace", "_queued", "_sent")
-    __slots__ += ("_quiet_since",)
+    __slots__ = ("health", "own", "unread_tokens", "failures", "run_seconds", "lateness")
+    __slots__ += (
+        "_other_requests",
+        "_report_received_at",
+        "_report_made_at",
+        "_pace",
+        "_queued",
+        "_unreported_sends",
+    )
+    __slots__ += ("_silent_since",)
 
     def __init__(self, rng: random.Random) -> None:
         self.health = EndpointHealth(rng)
         self.own = 0
-        self.unread = 0
+        self.unread_tokens = 0
         self.failures = FailureRate()
         self.lateness = RecentLateness()
-        # Since when nothing has come from there though this entry has work there.
-        self._quiet_since = 0.0
-        self.run_seconds = FIRST_RUN_SECONDS
-        self._others = 0.0
+        # Time from which silence counts while this entry has requests there.
+        self._silent_since = 0.0
+        self.run_seconds = INITIAL_RUN_SECONDS
+        self._other_requests = 0.0
         self._queued = 0
         self._pace = 1.0
-        self._reported_at = float("-inf")
-        self._made_at = float("-inf")
-        # When this entry sent what the last report cannot know of yet.
-        self._sent: collections.deque[float] = collections.deque(maxlen=MOST_SENT)
+        self._report_received_at = float("-inf")
+        self._report_made_at = float("-inf")
+        # Send times of the requests that the last report does not include yet.
+        self._unreported_sends: collections.deque[float] = collections.deque(maxlen=MAX_UNREPORTED)
 
     def placed(self, prompt_tokens: int, now: float, forecast: float = 0.0) -> None:
-        """Counts a request that is sent there.
+        """Records that a request was sent there.
 
         Args:
-          forecast: The seconds until something is to come of it. Until then an endpoint that has
-            nothing else to do for this entry is not silent; a long prompt takes it a second.
+          forecast: Expected seconds until its first event. If this entry has no other requests
+            there, silence counts only after that time; reading a long prompt takes a second.
         """
         if not self.own:
-            self._quiet_since = now + forecast
+            self._silent_since = now + forecast
         self.own += 1
-        self.unread += prompt_tokens
-        self._sent.append(now)
+        self.unread_tokens += prompt_tokens
+        self._unreported_sends.append(now)
         self.health.placed()
 
     def first_event(self, prompt_tokens: int, now: float) -> None:
-        """Counts a request whose first event came."""
-        self.unread -= prompt_tokens
+        """Records the first event of a request."""
+        self.unread_tokens -= prompt_tokens
         self.progressed(now)
 
     def progressed(self, now: float) -> None:
-        """Takes that something came from there."""
-        self._quiet_since = now
+        """Records that data arrived from there."""
+        self._silent_since = now
 
     def silent_seconds(self, now: float) -> float:
-        """Returns for how long nothing has come from there, with work of this entry there."""
-        return now - self._quiet_since if self.own else 0.0
+        """Returns for how long no data has arrived; zero without requests of this entry there."""
+        return now - self._silent_since if self.own else 0.0
 
     def record_end(self, failed: bool, now: float) -> None:
-        """Records whether a request failed in a way that may be the endpoint's own."""
-        self.failures.take(failed, now)
+        """Records the end of a request for the failure rate.
+
+        Args:
+          failed: Whether it failed in a way that the endpoint may have caused.
+        """
+        self.failures.record(failed, now)
         if not failed:
             self.progressed(now)
 
     def ended(self, prompt_tokens: int, answered: bool) -> None:
-        """Counts a request that ended, however.
+        """Removes a request from the load, whatever its outcome.
 
         Args:
           answered: Whether it had its first event.
         """
         self.own -= 1
         if not answered:
-            self.unread -= prompt_tokens
+            self.unread_tokens -= prompt_tokens
 
     def record_run(self, seconds: float) -> None:
-        """Records how long a whole answer of a plain service took."""
+        """Records how long a complete answer of a plain service took."""
         self.run_seconds += SAMPLE_WEIGHT * (seconds - self.run_seconds)
 
     def record_report(
         self, running: int, queued: int, pace: float, now: float, lag: float = 0.0
     ) -> None:
-        """Records what an endpoint says of itself.
+        """Records a load report of the endpoint.
 
         Args:
-          lag: How old the account was when it was made, in seconds.
+          lag: Seconds between the state that the report describes and its arrival.
         """
-        self._reported_at = now
-        self._made_at = now - lag
-        while self._sent and self._sent[0] < self._made_at:
-            self._sent.popleft()
-        own_then = max(0, self.own - len(self._sent))
-        self._others = max(0.0, running + queued - own_then)
+        self._report_received_at = now
+        self._report_made_at = now - lag
+        while self._unreported_sends and self._unreported_sends[0] < self._report_made_at:
+            self._unreported_sends.popleft()
+        own_at_report = max(0, self.own - len(self._unreported_sends))
+        self._other_requests = max(0.0, running + queued - own_at_report)
         self._queued = queued
         self._pace = max(1.0, pace)
 
     def report_age(self, now: float) -> float:
-        """Returns the seconds since the endpoint last said what it does; infinite if never."""
-        return now - self._reported_at
+        """Returns the seconds since the last load report; infinite if there was none."""
+        return now - self._report_received_at
 
     def work(self, now: float, usual_prompt: float = 0.0, others_rate: float = 0.0) -> EngineWork:
-        """Returns what is to be done there, before and beside a new request.
+        """Returns the estimated work ahead of and alongside a new request.
 
         Args:
-          usual_prompt: Tokens of a usual prompt, for those of others that wait unread.
-          others_rate: Requests a second that other entries send there.
+          usual_prompt: Tokens of a usual prompt, assumed for waiting requests of other entries.
+          others_rate: Requests per second that other entries send there.
         """
-        left = max(0.0, 1.0 - (now - self._reported_at) / TRUSTED_SECONDS)
-        untold = others_rate * (now - self._made_at) if left else 0.0
-        unread = self.unread + usual_prompt * (left * self._queued + untold)
-        return EngineWork(self.own + left * self._others + untold, unread, self._pace)
+        weight = max(0.0, 1.0 - (now - self._report_received_at) / REPORT_LIFETIME_SECONDS)
+        unreported = others_rate * (now - self._report_made_at) if weight else 0.0
+        unread = self.unread_tokens + usual_prompt * (weight * self._queued + unreported)
+        return EngineWork(self.own + weight * self._other_requests + unreported, unread, self._pace)
--- a/wasabidrum/decisions/endpoint_subset_test.py
+++ b/wasabidrum/decisions/endpoint_subset_test.py
@@ -1,4 +1,4 @@
-"""Tests of which endpoints an entry works over."""
+"""Tests of the subsets of endpoints that entries use."""
 
 import collections
 import unittest
@@ -8,7 +8,7 @@
 
 
 def make_instances(role: InstanceRole, centres: int, each: int) -> list[Instance]:
-    """Returns instances spread over data centres, three to a region."""
+    """Returns instances spread over data centres, with three data centres per region."""
     return [
         Instance(f"{role}-{c}-{i}", role, f"r{c // 3}", f"c{c}", "127.0.0.1", 1, 1)
         for c in range(centres)
@@ -30,17 +30,17 @@
 
 
 class EndpointSubsetTest(unittest.TestCase):
-    """Subsets are bounded, even, near, and change little."""
+    """Subsets are bounded, even and near, and change little."""
 
     def setUp(self) -> None:
-        # One data centre of the two-year size: 400 entries and 1,900 endpoints in nine.
+        # One of nine data centres of the planned size in two years: 400 entries, 1,900 endpoints.
         self.entries = make_instances(InstanceRole.ENTRY, 1, 44)
         self.endpoints = make_instances(InstanceRole.SIDECAR, 1, 211)
 
-    def test_every_endpoint_is_watched_by_as_many_entries(self) -> None:
-        """The fleet is too large for each entry to watch all. With subsets drawn at random
-        some endpoints would get three times the requests of others, and callers whose
-        requests land there would wait."""
+    def test_endpoints_are_watched_by_equally_many_entries(self) -> None:
+        """The fleet is too large for each entry to watch all endpoints. With random subsets,
+        some endpoints would receive three times the requests of others, and their callers
+        would wait."""
         chosen = choose_all(self.entries, self.endpoints)
         watched = collections.Counter(name for names in chosen.values() for name in names)
         self.assertEqual(set(watched), {e.name for e in self.endpoints})
@@ -49,7 +49,7 @@
         self.assertLessEqual(max(sizes), 20)
         self.assertGreaterEqual(min(sizes), 16)
 
-    def test_one_instance_more_or_less_moves_few_pairs(self) -> None:
+    def test_adding_or_removing_an_instance_changes_few_pairs(self) -> None:
         before = choose_all(self.entries, self.endpoints)
         pairs = sum(len(names) for names in before.values())
         for after in (
@@ -59,16 +59,16 @@
             moved = sum(len(after[name] - before[name]) for name in after)
             self.assertLess(moved, pairs * 0.06)
 
-    def test_a_whole_subset_out_of_work_is_stood_in_for(self) -> None:
-        """A rack dies with most of what one entry watches. Without stand-ins its callers would
-        be refused while the rest of the fleet has room."""
+    def test_an_unusable_subset_gets_substitutes(self) -> None:
+        """A rack fails that contains most of the endpoints of one entry. Without substitutes,
+        its callers would be refused while the rest of the fleet has room."""
         me = self.entries[0]
         before = choose_all([me, *self.entries[1:]], self.endpoints)[me.name]
         after = choose_all(self.entries, self.endpoints, frozenset(before))[me.name]
         self.assertGreaterEqual(len(after - before), endpoint_subset.SUBSET_SIZE)
         self.assertLessEqual(before, after)
 
-    def test_own_data_centre_first_and_no_endpoint_left_out(self) -> None:
+    def test_own_data_centre_is_preferred_and_no_endpoint_is_left_out(self) -> None:
         entries = make_instances(InstanceRole.ENTRY, 2, 10)
         endpoints = make_instances(InstanceRole.SIDECAR, 4, 40)
         chosen = choose_all(entries, endpoints)
@@ -78,7 +78,7 @@
             own = {e.name for e in endpoints if e.data_centre == entry.data_centre}
             self.assertGreaterEqual(len(chosen[entry.name] & own), 8)
 
-    def test_all_where_there_are_few(self) -> None:
+    def test_all_endpoints_are_used_if_there_are_few(self) -> None:
         few = self.endpoints[: endpoint_subset.SUBSET_SIZE]
         for names in choose_all(self.entries, few).values():
             self.assertEqual(len(names), len(few))
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -1,4 +1,4 @@
-"""Limits, health, retries, poison and affinity of single endpoints."""
+"""Tests of the limits, health, retries, suspects and prefix affinity of single endpoints."""
 
 import random
 import unittest
@@ -9,9 +9,9 @@
 from . import backoff
 from .death_record import MOST_TOLD, TOLD_SECONDS, DeathRecord
 from .endpoint_health import EndpointHealth, Health
-from .endpoint_limit import LARGEST_LIMIT, SMALLEST_LIMIT, EndpointLimit
+from .endpoint_limit import MAX_LIMIT, MIN_LIMIT, EndpointLimit
 from .endpoint_state import EndpointState
-from .poison import BLOCK_SECONDS, FORGET_SECONDS, PoisonGuard
+from .poison import BLOCK_SECONDS, SUSPECT_LIFETIME_SECONDS, PoisonGuard
 from .prefix_affinity import PrefixRing
 from .retry_budget import EARNED_BY_REQUEST, FIRST_PURSE, RetryBudget
 
@@ -31,10 +31,10 @@
 
     @SETTINGS
     @hypothesis.given(SIGNALS)
-    def test_it_is_never_negative_nor_without_bound(self, signals: list) -> None:
-        """Reports come late, twice, or make no sense. A limit that reaches nothing never
-        grows again, since nothing is sent that could tell better; callers are refused
-        before an idle engine."""
+    def test_it_stays_within_its_bounds(self, signals: list) -> None:
+        """Reports arrive late, twice, or with implausible values. A limit of zero would never
+        grow again, because no request would be sent whose result could raise it; callers would
+        be refused while the engine idles."""
         limit = EndpointLimit()
         now = 0.0
         for kind, value, number in signals:
@@ -47,13 +47,14 @@
                 limit.record_failure(now)
             elif kind == "restart":
                 limit.restart()
-            self.assertGreaterEqual(limit.value, SMALLEST_LIMIT)
-            self.assertLessEqual(limit.value, LARGEST_LIMIT)
+            self.assertGreaterEqual(limit.value, MIN_LIMIT)
+            self.assertLessEqual(limit.value, MAX_LIMIT)
             self.assertGreaterEqual(limit.places, 1)
 
-    def test_the_same_queue_reported_often_cuts_once(self) -> None:
-        """Reports lag by a second, so that the queue which a cut has ended is reported for a
-        second more. Cut for each report, the limit would collapse while the engine idles."""
+    def test_repeated_reports_of_one_queue_decrease_the_limit_once(self) -> None:
+        """Reports lag by a second, so a queue that a decrease has already ended is reported
+        for another second. If each report decreased the limit, it would collapse while the
+        engine idles."""
         limit = EndpointLimit(8.0)
         for tick in range(10):
             limit.record_report(8, 5, 8, 0.2, 100.0 + tick * 0.05)
@@ -61,19 +62,20 @@
 
 
 class HealthTest(unittest.TestCase):
-    """When an endpoint loses its share and how it wins it back."""
+    """When an endpoint is ejected and how it returns to service."""
 
     def make_slow(self) -> EndpointHealth:
-        """Returns an endpoint found slow at time 1."""
+        """Returns the health of an endpoint that was found slow at time 1."""
         health = EndpointHealth(random.Random(1))
         for token in range(8):
             health.record_tokens(1, 0.1)
             health.record_pace(0.01, 0.3 + 0.1 * token)
         return health
 
-    def test_a_pause_of_long_ago_is_no_slowness(self) -> None:
-        """An engine pauses in the last tokens of a text, and nothing is asked of it for ten
-        seconds. If the idle time counts as slow, it is out at the next text's first tokens."""
+    def test_a_pause_before_an_idle_time_does_not_eject(self) -> None:
+        """An engine pauses during the last tokens of an answer, then receives no requests for
+        ten seconds. If the idle time counted as slow, the engine would be ejected at the first
+        tokens of the next answer."""
         health = EndpointHealth(random.Random(1))
         for token in range(8):
             health.record_tokens(1, 0.01)
@@ -85,8 +87,8 @@
         self.assertIs(health.health, Health.HEALTHY)
 
     def test_only_one_probe_runs_at_a_time(self) -> None:
-        """A slow engine is tried again. If all requests of that moment go there, all their
-        callers wait."""
+        """A slow engine is probed. If all requests of that moment were sent there, all their
+        callers would wait."""
         health = self.make_slow()
         self.assertIs(health.health, Health.SLOW)
         self.assertFalse(health.may_take(1.0))
@@ -95,9 +97,9 @@
         health.placed()
         self.assertFalse(health.may_take(later))
 
-    def test_a_probe_that_its_caller_cancelled_is_followed_by_another(self) -> None:
-        """The only probe's caller leaves. If that probe counts as running for ever, the
-        endpoint never comes back, and nobody sees why."""
+    def test_a_cancelled_probe_is_followed_by_another(self) -> None:
+        """The caller of the only probe leaves. If that probe counted as running forever, the
+        endpoint would never return to service, without any visible reason."""
         health = self.make_slow()
         later = 1.0 + backoff.LONGEST_SECONDS
         health.placed()
@@ -106,29 +108,29 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """Which silence an entry that may itself have slept believes."""
+    """Silence of an endpoint, as opposed to a suspension of the entry itself."""
 
-    def test_a_process_that_slept_takes_no_endpoint_for_silent(self) -> None:
-        """The entry itself stood still for more than a second, and the tokens that came
-        meanwhile wait in its sockets. Judged before they are read, every endpoint that works
-        for it is taken out, and its callers are refused although all engines are well."""
+    def test_a_suspension_of_the_entry_is_not_taken_for_silence(self) -> None:
+        """The entry itself was suspended for more than a second, and tokens that arrived in the
+        meantime wait in its sockets. If silence were judged before they are read, all its
+        endpoints would be ejected and callers refused although all engines are healthy."""
         health = EndpointState("e", 0, random.Random(1)).health
         self.assertFalse(health.record_silence(1.4, 0.01, 100.0))
         self.assertFalse(health.record_silence(1.4, 0.01, 100.01))
         self.assertFalse(health.record_silence(0.02, 0.01, 100.2))
         self.assertIs(health.health, Health.HEALTHY)
 
-    def test_each_silence_is_looked_at_twice(self) -> None:
-        """The entry stands still twice, and tokens come in between. The second time must not
-        count as the second look at the first silence."""
+    def test_each_silence_must_be_seen_twice(self) -> None:
+        """The entry is suspended twice, and tokens arrive in between. The second suspension
+        must not count as a confirmation of the first silence."""
         health = EndpointState("e", 0, random.Random(1)).health
         self.assertFalse(health.record_silence(1.4, 0.01, 100.0))
         self.assertFalse(health.record_silence(1.4, 0.01, 102.0))
         self.assertIs(health.health, Health.HEALTHY)
 
-    def test_a_silence_that_lasts_takes_an_endpoint_out(self) -> None:
-        """An engine's process is paused in the middle of answers while the entry is awake.
-        Whoever is sent there waits, so it must be out a moment after the silence is seen."""
+    def test_a_lasting_silence_ejects_an_endpoint(self) -> None:
+        """An engine's process is paused in the middle of answers while the entry runs. All
+        requests sent there wait, so it must be ejected shortly after the silence is seen."""
         health = EndpointState("e", 0, random.Random(1)).health
         health.record_silence(0.6, 0.01, 100.0)
         health.record_silence(0.8, 0.01, 100.2)
@@ -136,13 +138,13 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries add at most a tenth to the load."""
+    """Retries increase the load by at most a tenth."""
 
     @SETTINGS
     @hypothesis.given(strategies.lists(strategies.booleans(), max_size=400))
-    def test_spent_is_at_most_a_tenth(self, events: list[bool]) -> None:
-        """Every request fails and wants another try. Unbounded, retries keep a fleet down
-        after the cause is gone."""
+    def test_retries_are_at_most_a_tenth_of_requests(self, events: list[bool]) -> None:
+        """Every request fails and is retried. Without a bound, retries would keep the fleet
+        overloaded after the cause is gone."""
         budget = RetryBudget()
         requests = retries = 0
         for is_request in events:
@@ -153,10 +155,10 @@
                 retries += budget.spend(0)
             self.assertLessEqual(retries, EARNED_BY_REQUEST * requests + FIRST_PURSE + 1e-6)
 
-    def test_an_entry_that_has_just_started_makes_a_death_good(self) -> None:
-        """An entry was restarted a second ago, and an engine dies with four of its texts. With
-        next to nothing earned by then, one of them ends in an error halfway, although the
-        others go on elsewhere."""
+    def test_a_new_entry_can_retry_after_an_engine_crash(self) -> None:
+        """An entry was restarted a second ago, and an engine crashes with four of its
+        generations in progress. Without an initial budget, one of them would end in an error
+        halfway although the others continue elsewhere."""
         budget = RetryBudget()
         for _ in range(12):
             budget.earn()
@@ -165,11 +167,12 @@
 
 
 class PoisonTest(unittest.TestCase):
-    """Suspicion: who is blocked, who is not, and for how long."""
+    """Which requests are blocked as suspects of a crash, and for how long."""
 
-    def test_one_death_seen_and_told_counts_once(self) -> None:
-        """An entry sees the cut and hears of the same death from the sidecar, again with
-        each status. Counted twice, everyone who was there would be blocked."""
+    def test_a_death_seen_and_reported_counts_once(self) -> None:
+        """An entry sees a connection break and receives the same death in each status of the
+        sidecar. If it counted twice, all requests that were in progress there would be
+        blocked."""
         guard = PoisonGuard()
         guard.saw_death("a", "e1", 10.0)
         for moment in range(11, 60):
@@ -179,29 +182,29 @@
         self.assertTrue(guard.is_blocked("a", 61.0))
         self.assertFalse(guard.is_blocked("b", 61.0))
 
-    def test_an_innocent_stays_cleared_though_sidecars_go_on_telling(self) -> None:
-        """A status names the dead engine's requests for a minute. An innocent one that was
-        answered meanwhile must not become a suspect again with each status."""
+    def test_a_cleared_request_stays_cleared_while_the_death_is_reported(self) -> None:
+        """A status names the requests of a dead engine for a minute. A request that has been
+        answered in the meantime must not become a suspect again with each status."""
         guard = PoisonGuard()
         guard.record_reported("e1", ("a/1",), 10.0)
         guard.clear("a")
         guard.record_reported("e1", ("a/1",), 11.0)
         self.assertFalse(guard.is_suspect("a", 11.0))
 
-    def test_suspicion_ages_out(self) -> None:
-        """The fault is mended with a new version. A request that stays blocked for ever is
-        an outage of its own for that caller."""
+    def test_suspicion_expires(self) -> None:
+        """The fault is fixed in a new version. A request that stayed blocked forever would be
+        an outage for its caller."""
         guard = PoisonGuard()
         guard.saw_death("a", "e1", 0.0)
         guard.saw_death("a", "e2", 10.0)
         self.assertTrue(guard.is_blocked("a", BLOCK_SECONDS))
         self.assertFalse(guard.is_blocked("a", BLOCK_SECONDS + 11.0))
         self.assertTrue(guard.is_suspect("a", BLOCK_SECONDS + 11.0))
-        self.assertFalse(guard.is_suspect("a", FORGET_SECONDS + 11.0))
+        self.assertFalse(guard.is_suspect("a", SUSPECT_LIFETIME_SECONDS + 11.0))
 
-    def test_what_a_sidecar_tells_is_bounded_and_ends(self) -> None:
-        """An engine dies again and again. A status that grows with it would fill the 8 KB a
-        second that a daemon has for control."""
+    def test_reported_suspects_are_bounded_and_expire(self) -> None:
+        """An engine dies repeatedly. A status that grew with each death would use up the 8 KB
+        per second that a daemon has for control traffic."""
         record = DeathRecord()
         for number in range(100):
             record.take_lost(f"{number:016x}", number * 0.1)
@@ -210,20 +213,20 @@
 
 
 class AffinityTest(unittest.TestCase):
-    """Where a prompt's head is placed."""
+    """The endpoints that are preferred for a prompt's prefix."""
 
-    def test_a_change_of_endpoints_moves_few_heads(self) -> None:
-        """One of fifty engines is replaced. If every head moves, all caches are cold at once
-        and first tokens come late all over the fleet."""
+    def test_a_change_of_endpoints_moves_few_prefixes(self) -> None:
+        """One of fifty engines is replaced. If all prefixes moved, all caches would be cold at
+        once and first tokens late in the whole fleet."""
         names = [f"e{number}" for number in range(50)]
         before, after = PrefixRing(names), PrefixRing(names[1:])
         heads = [f"head {number}" for number in range(1000)]
         moved = sum(before.preferred(head)[0] != after.preferred(head)[0] for head in heads)
         self.assertLessEqual(moved, 60)
 
-    def test_entries_agree_without_a_message(self) -> None:
-        """Two entries list the engines in different order. If each prefers another engine,
-        the prefix is prefilled once for each entry."""
+    def test_entries_agree_whatever_the_order_of_endpoints(self) -> None:
+        """Two entries list the engines in different order. If they preferred different
+        engines, each prefix would be prefilled once per entry."""
         names = [f"e{number}" for number in range(20)]
         one, other = PrefixRing(names), PrefixRing(reversed(names))
         for number in range(100):
--- a/wasabidrum/decisions/failure_rate_test.py
+++ b/wasabidrum/decisions/failure_rate_test.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail some of their requests."""
+"""Tests of the failure rate and the silence of endpoints, and of choices that depend on them."""
 
 import random
 import unittest
@@ -10,31 +10,31 @@
 
 
 class FailureRateTest(unittest.TestCase):
-    """The rate alone."""
+    """The failure rate by itself."""
 
-    def test_it_follows_what_is_seen(self) -> None:
+    def test_it_follows_the_observed_rate(self) -> None:
         rate = FailureRate()
         rng = random.Random(1)
         seen = []
         for step in range(1000):
-            rate.take(rng.random() < 0.4, step * 0.01)
+            rate.record(rng.random() < 0.4, step * 0.01)
             seen.append(rate.value(step * 0.01))
         self.assertAlmostEqual(sum(seen[100:]) / len(seen[100:]), 0.4, delta=0.05)
 
-    def test_it_fades_where_nothing_is_sent(self) -> None:
+    def test_it_decays_without_requests(self) -> None:
         rate = FailureRate()
         for _ in range(20):
-            rate.take(True, 0.0)
+            rate.record(True, 0.0)
         self.assertLess(rate.value(4 * HALF_LIFE_SECONDS), 0.1)
 
 
 class PartlyFailingTest(unittest.TestCase):
-    """Three endpoints of a plain service, of which one fails two of five requests."""
+    """Three endpoints of a plain service, one of which fails two of five requests."""
 
-    def test_one_that_fails_some_gets_few(self) -> None:
-        """An endpoint fails two of five calls and answers the others in between. It is taken
-        out after two failures in a row and is back after one good answer, and callers go on
-        to see errors while the other two have room."""
+    def test_a_partly_failing_endpoint_gets_few_requests(self) -> None:
+        """An endpoint fails two of five calls and answers the others in between. It is ejected
+        after two consecutive failures and returns after one good answer, so callers would keep
+        getting errors while the other two endpoints have room."""
         rng = random.Random(4)
         loads = [EndpointLoad(rng) for _ in range(3)]
         candidates = [
@@ -61,9 +61,9 @@
 class SilenceTest(unittest.TestCase):
     """An endpoint that hangs."""
 
-    def test_one_that_says_nothing_while_it_has_work_is_silent(self) -> None:
-        """An endpoint takes requests and never answers, and its health check is good. Nothing
-        fails until the callers' time is over, and until then each entry goes on sending."""
+    def test_an_endpoint_without_events_during_requests_is_silent(self) -> None:
+        """An endpoint accepts requests, never answers, and passes its health checks. No request
+        fails before its caller's timeout, and until then each entry would keep sending."""
         load = EndpointLoad(random.Random(1))
         self.assertEqual(load.silent_seconds(50.0), 0.0)
         load.placed(0, 10.0)
--- a/wasabidrum/decisions/fair_queue.py
+++ b/wasabidrum/decisions/fair_queue.py
@@ -1,13 +1,14 @@
-"""Who is next: classes first, then workspaces by what they were served for their share.
+"""Selects the next waiting request of a class by weighted fair queueing among workspaces.
 
-Load pattern: at midnight one workspace sends ten times its share. First come, first served
-gives it ten elevenths of the fleet, and every other workspace waits behind its backlog.
+Load pattern: at midnight one workspace sends ten times its share. In order of arrival it would
+get ten elevenths of the fleet, and all other workspaces would wait behind its backlog.
 
-Each workspace has a virtual clock that moves by cost divided by share with each request
-served; the waiting workspace whose clock is furthest behind goes next (start-time fair
-queueing). A workspace that was idle starts at the present and is owed nothing for the past.
-Between two that both wait, what they were served for their share differs by at most one
-request of each (the bound of start-time fair queueing; fair_queue_test.py holds it).
+Each workspace has a virtual clock that advances by cost divided by share with each request
+served. The waiting workspace whose clock is furthest behind is served next (start-time fair
+queueing). The clock of a workspace that was idle is set to the current virtual time: idle
+workspaces accumulate no credit. The service per share of two workspaces that both have waiting
+requests differs by at most one request of each (the bound of start-time fair queueing;
+fair_queue_test.py holds it).
 """
 
 import collections
@@ -17,14 +18,14 @@
 
 
 class FairQueue:
-    """Waiting requests of one class, chosen fairly among workspaces."""
+    """The waiting requests of one priority class, served fairly among workspaces."""
 
-    __slots__ = ("_waiting", "_clocks", "_present", "_cost", "_count")
+    __slots__ = ("_waiting", "_clocks", "_virtual_time", "_cost", "_count")
 
     def __init__(self) -> None:
         self._waiting: dict[str, collections.deque[Ticket]] = {}
         self._clocks: dict[str, float] = {}
-        self._present = 0.0
+        self._virtual_time = 0.0
         self._cost = 0.0
         self._count = 0
 
@@ -33,39 +34,39 @@
 
     @property
     def cost(self) -> float:
-        """What all that wait are expected to cost."""
+        """Expected cost of all waiting requests."""
         return self._cost
 
-    def cost_of(self, workspace: str) -> float:
-        """What those of one workspace that wait are expected to cost."""
+    def workspace_cost(self, workspace: str) -> float:
+        """Returns the expected cost of the waiting requests of a workspace."""
         return sum(ticket.cost for ticket in self._waiting.get(workspace, ()))
 
-    def shares_waiting(self) -> float:
-        """The shares of all workspaces that wait, added up."""
+    def waiting_shares(self) -> float:
+        """Returns the sum of the shares of all workspaces that have waiting requests."""
         return sum(waiting[0].share for waiting in self._waiting.values())
 
     def add(self, ticket: Ticket) -> None:
-        """Adds a request behind those of its workspace."""
+        """Adds a request behind the others of its workspace."""
         waiting = self._waiting.get(ticket.workspace)
         if waiting is None:
             waiting = self._waiting[ticket.workspace] = collections.deque()
             clock = self._clocks.get(ticket.workspace, 0.0)
-            self._clocks[ticket.workspace] = max(clock, self._present)
+            self._clocks[ticket.workspace] = max(clock, self._virtual_time)
         waiting.append(ticket)
         self._cost += ticket.cost
         self._count += 1
 
     def remove(self, ticket: Ticket) -> None:
-        """Takes out a request that is given up."""
+        """Removes a request that will not be served."""
         waiting = self._waiting[ticket.workspace]
         waiting.remove(ticket)
-        self._forget(ticket, waiting)
+        self._remove_cost(ticket, waiting)
 
     def pop(self, may_run: collections.abc.Callable[[Ticket], bool]) -> Ticket | None:
-        """Takes out the request that is next, and moves its workspace's clock.
+        """Removes and returns the next request, and advances its workspace's clock.
 
         Args:
-          may_run: Whether a request may run now; where not, another workspace is next.
+          may_run: Whether a request may run now; if not, the next workspace is tried.
         """
         ranked = sorted(self._waiting, key=lambda name: (self._clocks[name], name))
         workspace = next((name for name in ranked if may_run(self._waiting[name][0])), None)
@@ -73,30 +74,33 @@
             return None
         waiting = self._waiting[workspace]
         ticket = waiting.popleft()
-        self._present = max(self._present, self._clocks[workspace])
+        self._virtual_time = max(self._virtual_time, self._clocks[workspace])
         self.charge(workspace, ticket.cost, ticket.share)
-        self._forget(ticket, waiting)
+        self._remove_cost(ticket, waiting)
         return ticket
 
-    def pass_by(self, ticket: Ticket) -> None:
-        """Counts a request that is served without having waited."""
+    def charge_unqueued(self, ticket: Ticket) -> None:
+        """Charges a request that is served without having waited."""
         clock = self._clocks.get(ticket.workspace, 0.0)
-        self._clocks[ticket.workspace] = max(clock, self._present)
+        self._clocks[ticket.workspace] = max(clock, self._virtual_time)
         self.charge(ticket.workspace, ticket.cost, ticket.share)
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
-        """Moves a workspace's clock, back where a request cost less than expected."""
-        clock = self._clocks.get(workspace, self._present)
+        """Advances a workspace's clock by a cost.
+
+        The cost is negative if a request cost less than was expected.
+        """
+        clock = self._clocks.get(workspace, self._virtual_time)
         self._clocks[workspace] = clock + cost / max(share, 1e-6)
 
-    def _forget(self, ticket: Ticket, waiting: collections.deque[Ticket]) -> None:
+    def _remove_cost(self, ticket: Ticket, waiting: collections.deque[Ticket]) -> None:
         self._cost -= ticket.cost
         self._count -= 1
         if not waiting:
             del self._waiting[ticket.workspace]
         if not self._count:
-            # Nobody waits, so nobody is owed anything: all start level. This also drops the
-            # clocks of workspaces that the configuration no longer names.
+            # No request is waiting, so no workspace is behind another and all clocks restart.
+            # This also drops the clocks of workspaces that are no longer configured.
             self._cost = 0.0
             self._clocks.clear()
-            self._present = 0.0
+            self._virtual_time = 0.0
--- a/wasabidrum/decisions/in_progress_limit.py
+++ b/wasabidrum/decisions/in_progress_limit.py
@@ -1,37 +1,38 @@
-"""How much one entry holds at once, over all models and services.
+"""Limits the requests that one entry holds at once, over all models and services.
 
-Load pattern: a flood of requests for text fills the entry's memory and its sockets; a charge
-for an idle service is then refused, or never accepted, for want of room in the entry itself.
+Load pattern: a burst of requests for generated text fills the entry's memory and sockets. A
+charge for an idle service is then refused, or its connection never accepted, because the entry
+itself has no room.
 
-All that wait or run are counted against one bound, of which generated text may not use the
-last two tenths and reads not the last tenth.
+All waiting and running requests count against one limit. Generated text may not use the last
+two tenths of it, and reads not the last tenth.
 """
 
-MOST_IN_PROGRESS = 2000
+MAX_IN_PROGRESS = 2000
 RESERVED_FRACTION = 0.1
 
 
 class InProgressLimit:
-    """Requests that an entry holds, by class."""
+    """Counts the requests that an entry holds, and admits more by priority class."""
 
-    __slots__ = ("_held", "_most")
+    __slots__ = ("_in_progress", "_limit")
 
-    def __init__(self, most: int = MOST_IN_PROGRESS) -> None:
-        self._held = 0
-        self._most = most
+    def __init__(self, limit: int = MAX_IN_PROGRESS) -> None:
+        self._in_progress = 0
+        self._limit = limit
 
     @property
-    def held(self) -> int:
-        """How many requests wait or run."""
-        return self._held
+    def in_progress(self) -> int:
+        """How many requests are waiting or running."""
+        return self._in_progress
 
     def take(self, priority: int) -> bool:
-        """Takes room for one request of a class; returns whether there was any."""
-        if self._held >= self._most * (1.0 - RESERVED_FRACTION * priority):
+        """Adds a request of a priority class; returns whether there was room for it."""
+        if self._in_progress >= self._limit * (1.0 - RESERVED_FRACTION * priority):
             return False
-        self._held += 1
+        self._in_progress += 1
         return True
 
     def give_back(self) -> None:
-        """Gives back what one request took."""
-        self._held -= 1
+        """Removes a request that has ended."""
+        self._in_progress -= 1
--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -1,26 +1,27 @@
-"""Which requests are recalled from the endpoint that they were sent to.
-
-Load pattern: an engine is suspended, or its link or its queue holds requests up, for seconds.
-What was placed there in time begins when that ends: on weights that have been replaced, at an
-endpoint that everybody else takes for gone, or for callers that have left. Meanwhile those
-callers wait beside engines that have room. A margin at placing cannot cover it: with a bound of
-8 s, requests placed 2.2 and 2.5 s before it began 0.4 s after it, at an engine that had been
-suspended for 4.7 s.
-
-So what is in progress is judged again while it waits:
-- What has not begun, and may not begin any more where it is, is recalled. It may have begun
-  unseen, so that its caller is told "unknown", never "not run". What may run only once and
-  answers as a whole stays: nothing tells whether it has begun.
-- What waits at an endpoint that stands still goes on elsewhere, if it may run again and a place
-  at another endpoint and a retry are reserved for it. Recalled with nowhere to go, a caller
-  would lose an answer that comes a moment later; found able to go by itself, each of many that
-  are recalled together would be promised the same place.
-- What has not begun at an endpoint that stands still, and has been leaving or gone for as long
-  as the bound allows, is recalled if it may run again. What may run only once stays, for its
-  answer may be on the way; its route's time ends it.
-- A stream that has not begun when its caller is about to leave is answered before that. An engine
-  that is suspended begins what it has read at the moment it wakes, before it looks at its
-  connections; for a caller that has left, nothing can call that back.
+"""Decides which requests are recalled from the endpoint that they were sent to.
+
+Load pattern: an engine is suspended, or its link or queue delays requests for seconds. Requests
+that were placed there in time start when the delay ends: on weights that have been replaced, at
+an endpoint that all others consider gone, or for callers that have left. Meanwhile their callers
+wait although other engines have room. A safety margin at placement is not enough: with a bound of
+8 s, requests that were placed 2.2 and 2.5 s before the bound started 0.4 s after it, at an engine
+that had been suspended for 4.7 s.
+
+Therefore requests in progress are checked repeatedly:
+- A request that has not started, and must no longer start at its endpoint, is recalled. It may
+  have started without a visible sign, so its caller gets the outcome "unknown", never "not run".
+  A request that may run only once and is answered in one piece stays, because it cannot be known
+  whether it has started.
+- A request at a stalled endpoint continues at another one, if it may run again and if a slot at
+  another endpoint and a retry can be reserved for it. If it were recalled with nowhere to go, its
+  caller would lose an answer that may arrive a moment later. Without a reservation, each of many
+  requests that are recalled at the same time would count on the same slot.
+- A request that has not started at a stalled endpoint, which has been leaving or gone for as long
+  as the bound allows, is recalled if it may run again. A request that may run only once stays,
+  because its answer may be on the way; its route's timeout ends it.
+- A stream that has not started is answered shortly before its caller gives up. A suspended engine
+  that wakes up starts the requests that it has read before it looks at its connections; if the
+  caller has left by then, nothing can recall the request.
 """
 
 import collections.abc
@@ -31,13 +32,13 @@
 
 BOUND_MARGIN_SECONDS = 0.4
 RETIRED_MARGIN_SECONDS = 0.7
-OVERDUE_FACTOR = 3.0
-# No endpoint begins a request sooner under load: a pass with a prompt, and the way there and back.
+STALL_FACTOR = 3.0
+# Minimum time to start a request under load: one pass that reads a prompt, and the round trip.
 SHORTEST_BEGINNING_SECONDS = 0.3
 
 
 class RecallReason(enum.Enum):
-    """Why a request was recalled; none of it is the request's failure."""
+    """Why a request was recalled; no reason counts as a failure of the request."""
 
     WEIGHTS_OVERDUE = "weights_overdue"
     ENDPOINT_SILENT = "endpoint_silent"
@@ -47,18 +48,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """A request at an endpoint.
+    """A request in progress at an endpoint.
 
     Attributes:
-      begun: Something of its answer came.
-      repeatable: It may run more than once.
-      may_begin: Its endpoint's weights are not overdue.
-      tells_beginning: Its answer begins when it does, as a stream's.
-      silent: Its endpoint stands still with requests of this entry, this one among them.
-      retired_seconds: For how long its endpoint has been leaving or gone; zero if it is not.
-      leaves_in: The seconds until its caller leaves; infinite once something was passed on.
-      reserve: Reserves a place at another endpoint, and a retry; returns whether it could. Only
-        called where the rest speaks for it.
+      begun: Whether any part of its answer has arrived.
+      repeatable: Whether it may run more than once.
+      may_begin: Whether its endpoint's weights may still be used to start a request.
+      tells_beginning: Whether its answer starts when it starts to run, as a stream does.
+      silent: Whether its endpoint has stalled with requests of this entry, including this one.
+      retired_seconds: How long its endpoint has been leaving or gone; zero if it is not.
+      leaves_in: Seconds until its caller gives up; infinite once a part of the answer was
+        forwarded.
+      reserve: Reserves a slot at another endpoint and a retry; returns whether both were
+        available. Called only if all other conditions for a move are met.
     """
 
     begun: bool
@@ -72,16 +74,16 @@
 
 
 def recall_reason(waiting: Waiting, drain: float) -> RecallReason | None:
-    """Returns why a request is recalled now, or None where it stays.
+    """Returns why a request is recalled now; None if it stays.
 
     Args:
-      drain: The seconds from an endpoint's leaving until it must get no more work.
+      drain: Seconds after an endpoint starts to leave until it must receive no more requests.
     """
-    unbegun = not waiting.begun and (waiting.tells_beginning or waiting.repeatable)
-    if unbegun and not waiting.may_begin:
+    not_started = not waiting.begun and (waiting.tells_beginning or waiting.repeatable)
+    if not_started and not waiting.may_begin:
         return RecallReason.WEIGHTS_OVERDUE
-    hopeless = waiting.tells_beginning and waiting.leaves_in <= SHORTEST_BEGINNING_SECONDS
-    if hopeless and not waiting.begun:
+    too_late_to_start = waiting.tells_beginning and waiting.leaves_in <= SHORTEST_BEGINNING_SECONDS
+    if too_late_to_start and not waiting.begun:
         return RecallReason.CALLER_LEAVING
     if not waiting.silent:
         return None
@@ -94,14 +96,14 @@
 
 
 def is_stalled(waited: float, forecast: float, usual: float) -> bool:
-    """Returns whether a request has waited for longer than an endpoint's work explains.
+    """Returns whether a request has waited for longer than its endpoint's load explains.
 
-    A long prompt takes seconds to read, in which nothing comes; and a request that was sent a
-    moment ago is not stuck because another has been for long.
+    A long prompt takes seconds to read, during which no event arrives. A request that was sent a
+    moment ago is not stalled because another one has waited for long.
 
     Args:
-      waited: The seconds since something came of it, or since it was sent.
-      forecast: The seconds in which something was to come.
-      usual: The seconds in which something comes from the endpoint as a rule.
+      waited: Seconds since its last event, or since it was sent.
+      forecast: Forecast seconds until its first event; zero once it has started.
+      usual: Usual seconds between events of the endpoint.
     """
-    return is_silent(waited, usual) and waited > OVERDUE_FACTOR * forecast
+    return is_silent(waited, usual) and waited > STALL_FACTOR * forecast
--- a/wasabidrum/decisions/ticket.py
+++ b/wasabidrum/decisions/ticket.py
@@ -1,11 +1,11 @@
-"""One request in an admission queue."""
+"""A request in an admission queue, and the reason for a refusal."""
 
 import dataclasses
 import enum
 
 
 class TicketState(enum.Enum):
-    """Where a request stands. It moves only forward."""
+    """The state of a request. It only moves forward."""
 
     NEW = 0
     WAITING = 1
@@ -15,16 +15,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Ticket:
-    """What admission knows of a request.
+    """What admission control knows about a request.
 
     Attributes:
-      priority: Lower is served first.
-      share: The weight of its workspace.
-      cost: What it is expected to cost, in tokens, or one for a call of a plain service.
+      priority: Priority class; lower values are served first.
+      share: Weight of its workspace.
+      cost: Expected cost in tokens; one for a call of a plain service.
       deadline: When its caller stops waiting.
-      give_up_at: When it is refused if it is still waiting; set by the queue.
-      expected_wait: How long it was expected to wait, before correction.
-      over_share: Whether its workspace had more than its share when it began to run.
+      wait_ends_at: When it is refused if it is still waiting; set by the queue.
+      expected_wait: Estimated seconds of waiting, before correction.
+      over_share: Whether its workspace exceeded its share when the request started to run.
     """
 
     request_id: str
@@ -36,14 +36,14 @@
     state: TicketState = TicketState.NEW
     queued_at: float = 0.0
     started_at: float = 0.0
-    give_up_at: float = 0.0
+    wait_ends_at: float = 0.0
     expected_wait: float = 0.0
     over_share: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is not served, and when its caller may come back."""
+    """Why a request is not served, and after how many seconds its caller may retry."""
 
     code: str
     reason: str
