--- a/wasabidrum/decisions/admission_queue.py
+++ b/wasabidrum/decisions/admission_queue.py
@@ -113,7 +113,7 @@
         if now + run > ticket.deadline:
             ticket.state = TicketState.ENDED
             return Refusal(
-                "deadline_too_short", f"it would run for {run:.2f} s and exceed its deadline", 1.0
+                "deadline_too_short", f"would miss its deadline: it would run for {run:.2f} s", 1.0
             )
         nothing_ahead = not any(self._queues[: ticket.priority + 1])
         if nothing_ahead and self._may_run(ticket, now):
--- a/wasabidrum/decisions/endpoint_health.py
+++ b/wasabidrum/decisions/endpoint_health.py
@@ -169,8 +169,8 @@
             self._probing = False
             self._schedule_probe(now)
 
-    def _eject(self, health: Health, now: float) -> None:
-        self._health = health
+    def _eject(self, new_health: Health, now: float) -> None:
+        self._health = new_health
         self._slow_since = None
         self._probing = False
         self._schedule_probe(now)
