--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -34,14 +34,14 @@
     """Load, health and speed of one run of an endpoint, from its start to its end.
 
     Attributes:
-      own: Number of this entry's requests in progress there.
+      own_requests: Number of this entry's requests in progress there.
       unread_tokens: Prompt tokens of those that have had no event yet.
       failures: Recent failure rate there.
       lateness: How much later than forecast requests have recently started there.
       run_seconds: Average time for a request of a plain service.
     """
 
-    __slots__ = ("health", "own", "unread_tokens", "failures", "run_seconds", "lateness")
+    __slots__ = ("health", "own_requests", "unread_tokens", "failures", "run_seconds", "lateness")
     __slots__ += (
         "_other_requests",
         "_report_received_at",
@@ -54,7 +54,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.health = EndpointHealth(rng)
-        self.own = 0
+        self.own_requests = 0
         self.unread_tokens = 0
         self.failures = FailureRate()
         self.lateness = RecentLateness()
@@ -76,9 +76,9 @@
           forecast: Expected seconds until its first event. If this entry has no other requests
             there, silence counts only after that time; reading a long prompt takes a second.
         """
-        if not self.own:
+        if not self.own_requests:
             self._silent_since = now + forecast
-        self.own += 1
+        self.own_requests += 1
         self.unread_tokens += prompt_tokens
         self._unreported_sends.append(now)
         self.health.placed()
@@ -94,7 +94,7 @@
 
     def silent_seconds(self, now: float) -> float:
         """Returns for how long no data has arrived; zero without requests of this entry there."""
-        return now - self._silent_since if self.own else 0.0
+        return now - self._silent_since if self.own_requests else 0.0
 
     def record_end(self, failed: bool, now: float) -> None:
         """Records the end of a request for the failure rate.
@@ -112,7 +112,7 @@
         Args:
           answered: Whether it had its first event.
         """
-        self.own -= 1
+        self.own_requests -= 1
         if not answered:
             self.unread_tokens -= prompt_tokens
 
@@ -132,7 +132,7 @@
         self._report_made_at = now - lag
         while self._unreported_sends and self._unreported_sends[0] < self._report_made_at:
             self._unreported_sends.popleft()
-        own_at_report = max(0, self.own - len(self._unreported_sends))
+        own_at_report = max(0, self.own_requests - len(self._unreported_sends))
         self._other_requests = max(0.0, running + queued - own_at_report)
         self._queued = queued
         self._pace = max(1.0, pace)
@@ -151,4 +151,6 @@
         weight = max(0.0, 1.0 - (now - self._report_received_at) / REPORT_LIFETIME_SECONDS)
         unreported = others_rate * (now - self._report_made_at) if weight else 0.0
         unread = self.unread_tokens + usual_prompt * (weight * self._queued + unreported)
-        return EngineWork(self.own + weight * self._other_requests + unreported, unread, self._pace)
+        return EngineWork(
+            self.own_requests + weight * self._other_requests + unreported, unread, self._pace
+        )
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -226,7 +226,7 @@
             endpoint=placed.endpoint.id,
             weights=placed.weights,
             forecast=round(placed.seconds, 3),
-            in_progress=placed.load.own,
+            in_progress=placed.load.own_requests,
             after=failure,
         )
 
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -339,5 +339,7 @@
 
     def _forget_unlisted(self) -> None:
         listed = {(e.id, e.started_at) for e in self._state.endpoints.endpoints}
-        for key in [k for k, load in self._loads.items() if k not in listed and not load.own]:
+        for key in [
+            k for k, load in self._loads.items() if k not in listed and not load.own_requests
+        ]:
             del self._loads[key]
