--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -59,7 +59,7 @@
             raise CodedError("no_endpoint", "no endpoint can answer now", 503, retry_after=1.0)
         view = self.choose(views)
         state = pool.states[view.instance.name]
-        state.placed(now)
+        state.record_placed(now)
         return Placement(item, view, state, False, self)
 
     def choose(self, views: list):
--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -189,7 +189,7 @@
             job.refused = True
             return
         job.forecast = choice.raw
-        choice.candidate.load.placed(prompt, now)
+        choice.candidate.load.record_placed(prompt, now)
         entry.rate.take(now)
         place = self._endpoints.index(choice.candidate.endpoint)
         self._places[id(job)] = place
--- a/wasabidrum/decisions/endpoint_choice_test.py
+++ b/wasabidrum/decisions/endpoint_choice_test.py
@@ -188,9 +188,9 @@
 
     def test_own_requests_count_at_once_and_others_by_the_last_report(self) -> None:
         load = EndpointLoad(random.Random(1))
-        load.placed(900, 9.0)
+        load.record_placed(900, 9.0)
         load.record_report(running=5, queued=1, pace=1.0, now=10.0)
-        load.placed(900, 10.0)
+        load.record_placed(900, 10.0)
         self.assertAlmostEqual(load.work(10.0).requests, 7.0)
 
     def test_own_requests_newer_than_a_report_are_not_subtracted_from_it(self) -> None:
@@ -198,8 +198,8 @@
         which the report includes one. If both were subtracted from the report, one request of
         another entry would not be counted."""
         load = EndpointLoad(random.Random(1))
-        load.placed(900, 9.0)
-        load.placed(900, 9.9)
+        load.record_placed(900, 9.0)
+        load.record_placed(900, 9.9)
         load.record_report(running=5, queued=0, pace=1.0, now=10.0, lag=0.2)
         self.assertAlmostEqual(load.work(10.0).requests, 6.0)
 
--- a/wasabidrum/decisions/endpoint_health.py
+++ b/wasabidrum/decisions/endpoint_health.py
@@ -76,7 +76,7 @@
             return True
         return not self._probing and now >= self._probe_at
 
-    def placed(self) -> None:
+    def record_placed(self) -> None:
         """Records that a request was sent there."""
         if self._health is not Health.HEALTHY:
             self._probing = True
--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -69,7 +69,7 @@
         # Send times of the requests that the last report does not include yet.
         self._unreported_sends: collections.deque[float] = collections.deque(maxlen=MAX_UNREPORTED)
 
-    def placed(self, prompt_tokens: int, now: float, forecast: float = 0.0) -> None:
+    def record_placed(self, prompt_tokens: int, now: float, forecast: float = 0.0) -> None:
         """Records that a request was sent there.
 
         Args:
@@ -81,7 +81,7 @@
         self.own_requests += 1
         self.unread_tokens += prompt_tokens
         self._unreported_sends.append(now)
-        self.health.placed()
+        self.health.record_placed()
 
     def first_event(self, prompt_tokens: int, now: float) -> None:
         """Records the first event of a request."""
--- a/wasabidrum/decisions/endpoint_state.py
+++ b/wasabidrum/decisions/endpoint_state.py
@@ -103,12 +103,12 @@
             (self._recent_requests_at - now) / RECENT_REQUESTS_SECONDS
         )
 
-    def placed(self, now: float) -> None:
+    def record_placed(self, now: float) -> None:
         """Records that a request was sent there."""
         self._recent_requests = self.recent_requests(now) + 1.0
         self._recent_requests_at = now
         self.in_progress += 1
-        self.health.placed()
+        self.health.record_placed()
 
     def ended(self) -> None:
         """Records that a request ended there."""
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -94,7 +94,7 @@
         self.assertFalse(health.may_take(1.0))
         later = 1.0 + backoff.LONGEST_SECONDS
         self.assertTrue(health.may_take(later))
-        health.placed()
+        health.record_placed()
         self.assertFalse(health.may_take(later))
 
     def test_a_cancelled_probe_is_followed_by_another(self) -> None:
@@ -102,7 +102,7 @@
         endpoint would never return to service, without any visible reason."""
         health = self.make_slow()
         later = 1.0 + backoff.LONGEST_SECONDS
-        health.placed()
+        health.record_placed()
         health.probe_ended(later)
         self.assertTrue(health.may_take(later + backoff.LONGEST_SECONDS))
 
--- a/wasabidrum/decisions/failure_rate_test.py
+++ b/wasabidrum/decisions/failure_rate_test.py
@@ -48,7 +48,7 @@
             load = choice.candidate.load
             fails = load is loads[0] and rng.random() < 0.4
             failed += fails
-            load.placed(0, now)
+            load.record_placed(0, now)
             load.ended(0, False)
             load.record_end(fails, now)
             if fails:
@@ -66,8 +66,8 @@
         fails before its caller's timeout, and until then each entry would keep sending."""
         load = EndpointLoad(random.Random(1))
         self.assertEqual(load.silent_seconds(50.0), 0.0)
-        load.placed(0, 10.0)
-        load.placed(0, 10.2)
+        load.record_placed(0, 10.0)
+        load.record_placed(0, 10.2)
         self.assertAlmostEqual(load.silent_seconds(11.0), 1.0)
         load.progressed(10.9)
         self.assertAlmostEqual(load.silent_seconds(11.0), 0.1)
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -138,7 +138,7 @@
             self._budget.earn()
         item.placements += 1
         probe = state.health.health is not Health.HEALTHY
-        state.placed(now)
+        state.record_placed(now)
         if suspect:
             self._guard.started(state.name)
         reason = "probe" if probe else "prefix" if state.name in preferred else "load"
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -187,7 +187,7 @@
     def begin(self, placed: Placed, prompt_tokens: int) -> None:
         """Counts a request that is sent to its endpoint."""
         now = asyncio.get_running_loop().time()
-        placed.load.placed(prompt_tokens, now, placed.seconds)
+        placed.load.record_placed(prompt_tokens, now, placed.seconds)
         self.traffic(placed.endpoint.service).rate.take(now)
 
     def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
