--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -204,7 +204,7 @@
         for job in [item[0] for item in engine.running] + engine.ended:
             self._tell_first_event(job, number, now)
         for job in engine.ended:
-            self._load(job, number).ended(job.prompt, True)
+            self._load(job, number).record_ended(job.prompt, True)
         engine.ended = []
         if engine.requests:
             engine.free_at = engine.run_pass(now)
--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -106,7 +106,7 @@
         if not failed:
             self.progressed(now)
 
-    def ended(self, prompt_tokens: int, answered: bool) -> None:
+    def record_ended(self, prompt_tokens: int, answered: bool) -> None:
         """Removes a request from the load, whatever its outcome.
 
         Args:
--- a/wasabidrum/decisions/endpoint_state.py
+++ b/wasabidrum/decisions/endpoint_state.py
@@ -110,7 +110,7 @@
         self.in_progress += 1
         self.health.record_placed()
 
-    def ended(self) -> None:
+    def record_ended(self) -> None:
         """Records that a request ended there."""
         self.in_progress -= 1
 
--- a/wasabidrum/decisions/failure_rate_test.py
+++ b/wasabidrum/decisions/failure_rate_test.py
@@ -49,7 +49,7 @@
             fails = load is loads[0] and rng.random() < 0.4
             failed += fails
             load.record_placed(0, now)
-            load.ended(0, False)
+            load.record_ended(0, False)
             load.record_end(fails, now)
             if fails:
                 load.health.record_failure(now)
--- a/wasabidrum/decisions/poison.py
+++ b/wasabidrum/decisions/poison.py
@@ -88,7 +88,7 @@
         """Records that a suspect was sent to an endpoint."""
         self._running[endpoint] += 1
 
-    def ended(self, endpoint: str) -> None:
+    def record_ended(self, endpoint: str) -> None:
         """Records that a suspect ended at an endpoint, with any outcome."""
         self._running[endpoint] -= 1
         if self._running[endpoint] <= 0:
--- a/wasabidrum/entry/attempt_judge.py
+++ b/wasabidrum/entry/attempt_judge.py
@@ -58,11 +58,11 @@
     def record_end(self, placement: Placement, pool: TargetPool, code: str, now: float) -> None:
         """Records the end of one attempt."""
         item, state = placement.item, placement.state
-        state.ended()
+        state.record_ended()
         if placement.progress_at is not None:
             state.streaming -= 1
         if placement.suspect:
-            self._guard.ended(state.name)
+            self._guard.record_ended(state.name)
         if not code:
             self._take_success(placement, pool, now)
         elif code in NEUTRAL_CODES or now >= item.deadline - SHORTEST_TIME:
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -149,7 +149,7 @@
             raise
         finally:
             self._gateway.attempts.discard(self)
-            placed.load.ended(prompt, self._answered)
+            placed.load.record_ended(prompt, self._answered)
             if self._connection is not None:
                 self._connection.close()
 
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -197,7 +197,7 @@
     def _release(self) -> None:
         """Gives back what was reserved and not used, as when its caller has left meanwhile."""
         if self._reserved is not None:
-            self._reserved.load.ended(self._call.head.prompt_tokens, False)
+            self._reserved.load.record_ended(self._call.head.prompt_tokens, False)
             self._gateway.placer.record_no_verdict(self._reserved)
             self._reserved = None
 
