--- a/wasabidrum/decisions/poison.py
+++ b/wasabidrum/decisions/poison.py
@@ -84,7 +84,7 @@
         """Returns whether no suspect runs at an endpoint."""
         return not self._running[endpoint]
 
-    def started(self, endpoint: str) -> None:
+    def record_started(self, endpoint: str) -> None:
         """Records that a suspect was sent to an endpoint."""
         self._running[endpoint] += 1
 
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -140,7 +140,7 @@
         probe = state.health.health is not Health.HEALTHY
         state.record_placed(now)
         if suspect:
-            self._guard.started(state.name)
+            self._guard.record_started(state.name)
         reason = "probe" if probe else "prefix" if state.name in preferred else "load"
         self._log.write(
             Event.REQUEST_PLACED,
