--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -174,7 +174,7 @@
         sidecar. If it counted twice, all requests that were in progress there would be
         blocked."""
         guard = PoisonGuard()
-        guard.saw_death("a", "e1", 10.0)
+        guard.record_death("a", "e1", 10.0)
         for moment in range(11, 60):
             guard.record_reported("e1", ("a/1", "b/1"), float(moment))
         self.assertFalse(guard.is_blocked("a", 60.0))
@@ -195,8 +195,8 @@
         """The fault is fixed in a new version. A request that stayed blocked forever would be
         an outage for its caller."""
         guard = PoisonGuard()
-        guard.saw_death("a", "e1", 0.0)
-        guard.saw_death("a", "e2", 10.0)
+        guard.record_death("a", "e1", 0.0)
+        guard.record_death("a", "e2", 10.0)
         self.assertTrue(guard.is_blocked("a", BLOCK_SECONDS))
         self.assertFalse(guard.is_blocked("a", BLOCK_SECONDS + 11.0))
         self.assertTrue(guard.is_suspect("a", BLOCK_SECONDS + 11.0))
--- a/wasabidrum/decisions/poison.py
+++ b/wasabidrum/decisions/poison.py
@@ -100,7 +100,7 @@
         if suspect is not None:
             suspect.deaths.clear()
 
-    def saw_death(self, fingerprint: str, endpoint: str, now: float) -> None:
+    def record_death(self, fingerprint: str, endpoint: str, now: float) -> None:
         """Records that a request was in progress at an endpoint that died."""
         self._add(fingerprint, endpoint, now)
 
--- a/wasabidrum/entry/attempt_judge.py
+++ b/wasabidrum/entry/attempt_judge.py
@@ -115,7 +115,7 @@
         state.limit.record_failure(now)
         lost = code == "engine_lost" or placement.head_at is not None
         if item.fingerprint and lost and code in DEATH_CODES:
-            self._guard.saw_death(item.fingerprint, state.name, now)
+            self._guard.record_death(item.fingerprint, state.name, now)
             self._log.write(
                 Event.REQUEST_SUSPECTED,
                 request=item.request_id,
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -130,7 +130,7 @@
         """See EntryServiceOwner."""
         now = asyncio.get_running_loop().time()
         for fingerprint in message.fingerprints:
-            self._guard.saw_death(fingerprint, message.endpoint, now)
+            self._guard.record_death(fingerprint, message.endpoint, now)
 
     def tell_suspect(self, endpoint: str, fingerprint: str) -> None:
         """Has every other entry told of a request that was there when an endpoint died."""
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -261,7 +261,7 @@
             self._gateway.placer.record_no_verdict(placed)
         if error.code in DEATH_CODES:
             now = asyncio.get_running_loop().time()
-            self._gateway.guard.saw_death(self._fingerprint, placed.endpoint.id, now)
+            self._gateway.guard.record_death(self._fingerprint, placed.endpoint.id, now)
             self._gateway.peers.tell_suspect(placed.endpoint.id, self._fingerprint)
             self._gateway.log.write(
                 Event.REQUEST_SUSPECTED,
