--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -176,9 +176,9 @@
         guard = PoisonGuard()
         guard.record_death("a", "e1", 10.0)
         for moment in range(11, 60):
-            guard.record_reported("e1", ("a/1", "b/1"), float(moment))
+            guard.record_reported_deaths("e1", ("a/1", "b/1"), float(moment))
         self.assertFalse(guard.is_blocked("a", 60.0))
-        guard.record_reported("e2", ("a/1",), 61.0)
+        guard.record_reported_deaths("e2", ("a/1",), 61.0)
         self.assertTrue(guard.is_blocked("a", 61.0))
         self.assertFalse(guard.is_blocked("b", 61.0))
 
@@ -186,9 +186,9 @@
         """A status names the requests of a dead engine for a minute. A request that has been
         answered in the meantime must not become a suspect again with each status."""
         guard = PoisonGuard()
-        guard.record_reported("e1", ("a/1",), 10.0)
+        guard.record_reported_deaths("e1", ("a/1",), 10.0)
         guard.clear("a")
-        guard.record_reported("e1", ("a/1",), 11.0)
+        guard.record_reported_deaths("e1", ("a/1",), 11.0)
         self.assertFalse(guard.is_suspect("a", 11.0))
 
     def test_suspicion_expires(self) -> None:
--- a/wasabidrum/decisions/poison.py
+++ b/wasabidrum/decisions/poison.py
@@ -104,7 +104,7 @@
         """Records that a request was in progress at an endpoint that died."""
         self._add(fingerprint, endpoint, now)
 
-    def record_reported(self, endpoint: str, suspects: tuple[str, ...], now: float) -> None:
+    def record_reported_deaths(self, endpoint: str, suspects: tuple[str, ...], now: float) -> None:
         """Records the suspects in a sidecar's status; each death counts once.
 
         Args:
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -182,7 +182,7 @@
         self._table.take_status(status)
         now = asyncio.get_running_loop().time()
         if status.suspects:
-            self._guard.record_reported(status.name, status.suspects, now)
+            self._guard.record_reported_deaths(status.name, status.suspects, now)
         pool = self._pools.get((status.model, status.service))
         if pool is not None and status.name in pool.states:
             pool.record_report(status.name, pool.views[status.name], now)
@@ -280,7 +280,7 @@
                 self._judge.eject(pool, state, f"silent for {silent:.1f} s")
         for name, view in pool.views.items():
             if view.status is not None and view.status.suspects:
-                self._guard.record_reported(name, view.status.suspects, now)
+                self._guard.record_reported_deaths(name, view.status.suspects, now)
 
     def _set_timer(self, pool: TargetPool, now: float) -> None:
         if pool.timer is not None:
