--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -214,7 +214,7 @@
         if id(job) in self._told:
             return
         self._told.add(id(job))
-        self._load(job, number).first_event(job.prompt, now)
+        self._load(job, number).record_first_event(job.prompt, now)
         self.entries[job.entry].bias.take(job.forecast, now - job.arrived, now)
 
     def _load(self, job: Job, number: int) -> EndpointLoad:
--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -83,7 +83,7 @@
         self._unreported_sends.append(now)
         self.health.record_placed()
 
-    def first_event(self, prompt_tokens: int, now: float) -> None:
+    def record_first_event(self, prompt_tokens: int, now: float) -> None:
         """Records the first event of a request."""
         self.unread_tokens -= prompt_tokens
         self.progressed(now)
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -193,7 +193,7 @@
     def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
         """Records a request's first event, some seconds after it was placed."""
         now = asyncio.get_running_loop().time()
-        placed.load.first_event(prompt_tokens, now)
+        placed.load.record_first_event(prompt_tokens, now)
         placed.load.lateness.take(seconds - placed.seconds, now)
         self.traffic(placed.endpoint.service).bias.take(placed.raw, seconds, now)
 
