--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -86,9 +86,9 @@
     def record_first_event(self, prompt_tokens: int, now: float) -> None:
         """Records the first event of a request."""
         self.unread_tokens -= prompt_tokens
-        self.progressed(now)
+        self.record_progress(now)
 
-    def progressed(self, now: float) -> None:
+    def record_progress(self, now: float) -> None:
         """Records that data arrived from there."""
         self._silent_since = now
 
@@ -104,7 +104,7 @@
         """
         self.failures.record(failed, now)
         if not failed:
-            self.progressed(now)
+            self.record_progress(now)
 
     def record_ended(self, prompt_tokens: int, answered: bool) -> None:
         """Removes a request from the load, whatever its outcome.
--- a/wasabidrum/decisions/failure_rate_test.py
+++ b/wasabidrum/decisions/failure_rate_test.py
@@ -69,5 +69,5 @@
         load.record_placed(0, 10.0)
         load.record_placed(0, 10.2)
         self.assertAlmostEqual(load.silent_seconds(11.0), 1.0)
-        load.progressed(10.9)
+        load.record_progress(10.9)
         self.assertAlmostEqual(load.silent_seconds(11.0), 0.1)
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -261,4 +261,4 @@
             self._progress.weights = self._placed.weights
             await self._exchange.begin_stream(head)
         self._heard_at = self._progress.last_event_at = loop.time()
-        self._placed.load.progressed(self._heard_at)
+        self._placed.load.record_progress(self._heard_at)
