--- a/wasabidrum/decisions/endpoint_load.py
+++ b/wasabidrum/decisions/endpoint_load.py
@@ -96,7 +96,7 @@
         """Returns for how long no data has arrived; zero without requests of this entry there."""
         return now - self._silent_since if self.own_requests else 0.0
 
-    def record_end(self, failed: bool, now: float) -> None:
+    def record_outcome(self, failed: bool, now: float) -> None:
         """Records the end of a request for the failure rate.
 
         Args:
--- a/wasabidrum/decisions/failure_rate_test.py
+++ b/wasabidrum/decisions/failure_rate_test.py
@@ -50,7 +50,7 @@
             failed += fails
             load.record_placed(0, now)
             load.record_ended(0, False)
-            load.record_end(fails, now)
+            load.record_outcome(fails, now)
             if fails:
                 load.health.record_failure(now)
             else:
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -205,7 +205,7 @@
     def record_failure(self, placed: Placed, reason: str) -> None:
         """Records a failure that may be the endpoint's own."""
         now = asyncio.get_running_loop().time()
-        placed.load.record_end(True, now)
+        placed.load.record_outcome(True, now)
         if placed.load.health.record_failure(now):
             self._tell_ejected(placed.endpoint, placed.load, reason)
 
@@ -217,7 +217,7 @@
 
     def record_success(self, placed: Placed) -> None:
         """Records a whole answer."""
-        placed.load.record_end(False, asyncio.get_running_loop().time())
+        placed.load.record_outcome(False, asyncio.get_running_loop().time())
         if placed.load.health.record_success(0.0):
             self._log.write(Event.ENDPOINT_RETURNED, endpoint=placed.endpoint.id)
 
