--- a/wasabidrum/decisions/endpoint_health.py
+++ b/wasabidrum/decisions/endpoint_health.py
@@ -163,7 +163,7 @@
         self._eject(Health.FAILING, now)
         return True
 
-    def probe_ended(self, now: float) -> None:
+    def end_probe(self, now: float) -> None:
         """Ends a probe without a result, such as one that its caller cancelled."""
         if self._probing:
             self._probing = False
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -103,7 +103,7 @@
         health = self.make_slow()
         later = 1.0 + backoff.LONGEST_SECONDS
         health.record_placed()
-        health.probe_ended(later)
+        health.end_probe(later)
         self.assertTrue(health.may_take(later + backoff.LONGEST_SECONDS))
 
 
--- a/wasabidrum/entry/attempt_judge.py
+++ b/wasabidrum/entry/attempt_judge.py
@@ -68,7 +68,7 @@
         elif code in NEUTRAL_CODES or now >= item.deadline - SHORTEST_TIME:
             # A caller's own short deadline says nothing against the endpoint; counted as a
             # failure, a few such callers could have every endpoint taken out of service.
-            state.health.probe_ended(now)
+            state.health.end_probe(now)
         else:
             self._take_failure(placement, code, pool, now)
 
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -213,7 +213,7 @@
         """Records that an engine does not hold the weights on which a request was placed there."""
         now = asyncio.get_running_loop().time()
         self._told.record_refusal(placed.endpoint.id, now)
-        placed.load.health.probe_ended(now)
+        placed.load.health.end_probe(now)
 
     def record_success(self, placed: Placed) -> None:
         """Records a whole answer."""
@@ -223,7 +223,7 @@
 
     def record_no_verdict(self, placed: Placed) -> None:
         """Records the end of a request that tells nothing of the endpoint."""
-        placed.load.health.probe_ended(asyncio.get_running_loop().time())
+        placed.load.health.end_probe(asyncio.get_running_loop().time())
 
     def take_status(self, status: Status) -> None:
         """Takes what the sidecar beside an engine tells of it."""
