--- a/tests/gateway_traps_test.py
+++ b/tests/gateway_traps_test.py
@@ -169,14 +169,14 @@
         self.assertNotEqual(health.health.value, "healthy")
         self.a.behave = hold
         loop = asyncio.get_running_loop()
-        await self.fleet.wait_until(lambda: health.may_take(loop.time()))
+        await self.fleet.wait_until(lambda: health.may_receive(loop.time()))
         before = len(self.a.seen)
         probe = asyncio.ensure_future(self.fleet.ask(0, "tally", "safe", "probe"))
         await self.fleet.wait_until(lambda: len(self.a.seen) > before)
         probe.cancel()
         await asyncio.gather(probe, return_exceptions=True)
         self.a.behave = answer_ok
-        await self.fleet.wait_until(lambda: health.may_take(loop.time()), 5.0)
+        await self.fleet.wait_until(lambda: health.may_receive(loop.time()), 5.0)
         reply = await self.fleet.ask(0, "tally", "safe", "r9")
         self.assertEqual(reply.status, 200)
         self.assertEqual(health.health.value, "healthy")
--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -133,7 +133,7 @@
     rng: random.Random,
 ) -> Choice:
     """Returns the endpoint for a request, or a refusal."""
-    able = [c for c in candidates if c.load.health.may_take(now)]
+    able = [c for c in candidates if c.load.health.may_receive(now)]
     healthy = [c for c in able if c.load.health.health is Health.HEALTHY]
     # A request may be used as a probe of an unhealthy endpoint, but not one that must not be
     # repeated while a healthy endpoint is available, and never one that was moved: it has
--- a/wasabidrum/decisions/endpoint_health.py
+++ b/wasabidrum/decisions/endpoint_health.py
@@ -70,7 +70,7 @@
         """When the next probe is due; meaningful only while the endpoint is not healthy."""
         return self._probe_at
 
-    def may_take(self, now: float) -> bool:
+    def may_receive(self, now: float) -> bool:
         """Returns whether a request may be sent there, as a probe if it is not healthy."""
         if self._health is Health.HEALTHY:
             return True
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -91,11 +91,11 @@
         callers would wait."""
         health = self.make_slow()
         self.assertIs(health.health, Health.SLOW)
-        self.assertFalse(health.may_take(1.0))
+        self.assertFalse(health.may_receive(1.0))
         later = 1.0 + backoff.LONGEST_SECONDS
-        self.assertTrue(health.may_take(later))
+        self.assertTrue(health.may_receive(later))
         health.record_placed()
-        self.assertFalse(health.may_take(later))
+        self.assertFalse(health.may_receive(later))
 
     def test_a_cancelled_probe_is_followed_by_another(self) -> None:
         """The caller of the only probe leaves. If that probe counted as running forever, the
@@ -104,7 +104,7 @@
         later = 1.0 + backoff.LONGEST_SECONDS
         health.record_placed()
         health.end_probe(later)
-        self.assertTrue(health.may_take(later + backoff.LONGEST_SECONDS))
+        self.assertTrue(health.may_receive(later + backoff.LONGEST_SECONDS))
 
 
 class SilenceTest(unittest.TestCase):
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -64,7 +64,7 @@
         limits = [
             state.limit.value
             for state in self.states.values()
-            if state.health.may_take(now) and self.can_take(state.name)
+            if state.health.may_receive(now) and self.can_take(state.name)
         ]
         self.queue.set_limit(sum(limits))
         return True
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -221,7 +221,7 @@
         def allowed(state: EndpointState) -> bool:
             return (
                 state.name not in tried
-                and state.health.may_take(now)
+                and state.health.may_receive(now)
                 and pool.can_take(state.name)
                 and not (suspect and not self._guard.may_run_at(state.name))
             )
