--- a/wasabidrum/decisions/endpoint_state.py
+++ b/wasabidrum/decisions/endpoint_state.py
@@ -56,7 +56,7 @@
         """How many requests the endpoint reports it can run at once."""
         return max(1, self._load.slots)
 
-    def pace(self, now: float) -> float:
+    def seconds_per_token(self, now: float) -> float:
         """Returns the current seconds per token; zero if too few tokens were received.
 
         If the time since the last token exceeds the average, that time is returned. Otherwise,
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -91,7 +91,7 @@
         who could serve its callers faster.
         """
         paces = [
-            peer.pace(now)
+            peer.seconds_per_token(now)
             for peer in self.states.values()
             if peer is not state
             and peer.health.health is Health.HEALTHY
