--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -89,7 +89,7 @@
       seconds: Earliest forecast of the first event; infinite if no endpoint is available.
       retry_after: Seconds until room is expected, if the request is refused.
       known: Number of endpoints that have what the request needs.
-      able: How many of them are healthy or due for a probe.
+      available: How many of them are healthy or due for a probe.
       report_age: Age in seconds of their oldest load report, set if the request is refused for
         overload; else zero.
       raw: Forecast for the chosen endpoint from the published figures, before corrections.
@@ -99,7 +99,7 @@
     seconds: float
     retry_after: float = 0.0
     known: int = 0
-    able: int = 0
+    available: int = 0
     report_age: float = 0.0
     raw: float = 0.0
 
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -161,7 +161,7 @@
         self._exchange.note(
             service=self._service,
             endpoints_known=choice.known,
-            endpoints_able=choice.able,
+            endpoints_able=choice.available,
             report_age=choice.report_age,
         )
         code = "overloaded" if choice.seconds < float("inf") else "no_endpoint"
