--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -188,7 +188,7 @@
         if choice.candidate is None:
             job.refused = True
             return
-        job.forecast = choice.raw
+        job.forecast = choice.uncorrected_seconds
         choice.candidate.load.record_placed(prompt, now)
         entry.rate.take(now)
         place = self._endpoints.index(choice.candidate.endpoint)
--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -92,7 +92,7 @@
       available: How many of them are healthy or due for a probe.
       report_age: Age in seconds of their oldest load report, set if the request is refused for
         overload; else zero.
-      raw: Forecast for the chosen endpoint from the published figures, before corrections.
+      uncorrected_seconds: Forecast for the chosen endpoint from the published figures, before corrections.
     """
 
     candidate: Candidate | None
@@ -101,7 +101,7 @@
     known: int = 0
     available: int = 0
     report_age: float = 0.0
-    raw: float = 0.0
+    uncorrected_seconds: float = 0.0
 
 
 def forecast(
@@ -144,15 +144,17 @@
         return Choice(None, float("inf"), retry_after_next_probe(candidates, now), known)
     ranked = []
     for candidate in pool:
-        raw = forecast(candidate, figures, demand, now)
-        seconds = raw + (demand.corrections[length_of(raw)] if demand.corrections else 0.0)
+        uncorrected_seconds = forecast(candidate, figures, demand, now)
+        seconds = uncorrected_seconds + (
+            demand.corrections[length_of(uncorrected_seconds)] if demand.corrections else 0.0
+        )
         # Endpoints assigned to other entries are filled by those entries. This entry uses them
         # only if its own endpoints would take noticeably longer.
         penalized = seconds if candidate.assigned else seconds + UNASSIGNED_PENALTY_SECONDS
         penalty = 0.0 if candidate.near else OTHER_REGION_PENALTY_SECONDS
         penalty += FAILURE_PENALTY_SECONDS * candidate.load.failures.value(now)
         order = penalized * (1.0 + JITTER * rng.random()) + penalty
-        ranked.append(RankedCandidate(order, penalized, raw, candidate))
+        ranked.append(RankedCandidate(order, penalized, uncorrected_seconds, candidate))
     in_time = [rank for rank in ranked if starts_in_time(rank, demand)]
     if not in_time:
         soonest = min(rank.seconds for rank in ranked)
@@ -160,7 +162,14 @@
         retry = retry_after_overload(figures, excess_seconds, demand.refused_share)
         return Choice(None, soonest, retry, known, len(pool), oldest_report(pool, now))
     best = min(in_time, key=lambda rank: rank.order)
-    return Choice(best.candidate, best.seconds, 0.0, known, len(pool), raw=best.raw)
+    return Choice(
+        best.candidate,
+        best.seconds,
+        0.0,
+        known,
+        len(pool),
+        uncorrected_seconds=best.uncorrected_seconds,
+    )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -170,12 +179,12 @@
     Attributes:
       order: Sort key; the candidate with the lowest value is chosen.
       seconds: Forecast that is compared with the latest useful first event.
-      raw: Forecast from the published figures alone.
+      uncorrected_seconds: Forecast from the published figures alone.
     """
 
     order: float
     seconds: float
-    raw: float
+    uncorrected_seconds: float
     candidate: Candidate
 
 
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -171,7 +171,7 @@
         endpoint, load = choice.candidate.endpoint, choice.candidate.load
         is_engine = self._state.engine_of(endpoint.service) is not None
         version = endpoint.weights if is_engine else 0
-        return Placed(endpoint, load, version, choice.seconds, choice.raw)
+        return Placed(endpoint, load, version, choice.seconds, choice.uncorrected_seconds)
 
     def record_refusal(self, service: str) -> None:
         """Counts a request that no endpoint could take."""
