--- a/wasabidrum/decisions/in_progress_limit.py
+++ b/wasabidrum/decisions/in_progress_limit.py
@@ -26,7 +26,7 @@
         """How many requests are waiting or running."""
         return self._in_progress
 
-    def take(self, priority: int) -> bool:
+    def acquire(self, priority: int) -> bool:
         """Adds a request of a priority class; returns whether there was room for it."""
         if self._in_progress >= self._limit * (1.0 - RESERVED_FRACTION * priority):
             return False
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -77,7 +77,7 @@
         if item.fingerprint and self._guard.is_blocked(item.fingerprint, now):
             raise blocked_error()
         ticket = self._costs.make_ticket(item)
-        if not self._room.take(item.priority):
+        if not self._room.acquire(item.priority):
             raise refusal_error(Refusal("entry_full", "this entry holds too many requests", 1.0))
         try:
             self._costs.charge(item, ticket, now)
