--- a/wasabidrum/decisions/in_progress_limit.py
+++ b/wasabidrum/decisions/in_progress_limit.py
@@ -33,6 +33,6 @@
         self._in_progress += 1
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Removes a request that has ended."""
         self._in_progress -= 1
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -82,7 +82,7 @@
         try:
             self._costs.charge(item, ticket, now)
         except CodedError:
-            self._room.give_back()
+            self._room.release()
             raise
         refusal = pool.queue.offer(ticket, now)
         unplaced = refusal is not None and refusal.code == "no_endpoint"
@@ -90,7 +90,7 @@
             now = loop.time()
             refusal = pool.queue.offer(ticket, now)
         if refusal is not None:
-            self._room.give_back()
+            self._room.release()
             self._costs.refund(item, ticket)
             raise self._refuse(refusal, pool, now)
         permit = Permit(self, pool, ticket, item)
@@ -207,7 +207,7 @@
         cost = self._costs.settle(item, ticket)
         pool.waiters.pop(ticket, None)
         pool.queue.end(ticket, now, cost)
-        self._room.give_back()
+        self._room.release()
         self._advance(pool, now)
 
     def _choose(
@@ -245,7 +245,7 @@
         try:
             return await self.wait_for_endpoint(item)
         except asyncio.CancelledError:
-            self._room.give_back()
+            self._room.release()
             self._costs.refund(item, ticket)
             raise
 
