--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -7,7 +7,12 @@
 from wasabidrum.core.listed_endpoint import ListedEndpoint
 from wasabidrum.core.published import EngineFigures
 from wasabidrum.decisions.endpoint_assignment import assign_endpoints
-from wasabidrum.decisions.endpoint_choice import LATEST_FRACTION, Candidate, Demand, choose
+from wasabidrum.decisions.endpoint_choice import (
+    FIRST_EVENT_LIMIT_FRACTION,
+    Candidate,
+    Demand,
+    choose,
+)
 from wasabidrum.decisions.endpoint_load import EndpointLoad
 from wasabidrum.decisions.engine_forecast import pass_seconds, read_seconds
 from wasabidrum.decisions.forecast_bias import ForecastBias
@@ -224,7 +229,7 @@
 def replay(
     rate: float,
     engines: int | list[FakeEngine],
-    latest: float = AIM_SECONDS * LATEST_FRACTION,
+    latest: float = AIM_SECONDS * FIRST_EVENT_LIMIT_FRACTION,
     entries: int = 3,
     share: bool = True,
 ) -> list[Job]:
--- a/wasabidrum/decisions/endpoint_choice_test.py
+++ b/wasabidrum/decisions/endpoint_choice_test.py
@@ -9,7 +9,7 @@
 
 from ..core.listed_endpoint import ListedEndpoint
 from .endpoint_choice import (
-    LATEST_FRACTION,
+    FIRST_EVENT_LIMIT_FRACTION,
     MAX_RETRY_SECONDS,
     Candidate,
     Demand,
@@ -68,7 +68,7 @@
         assigned to other entries, the entries there would refuse them while those engines
         idle."""
         engines = [FakeEngine() for _ in range(24)]
-        game = Replay(engines, 12, AIM_SECONDS * LATEST_FRACTION)
+        game = Replay(engines, 12, AIM_SECONDS * FIRST_EVENT_LIMIT_FRACTION)
         for entry in game.entries:
             entry.weight = 2.0 if entry.data_centre == "0" else 0.5
         jobs = game.play(150.0)
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -12,7 +12,13 @@
 from ..core.route import Route, RouteKind
 from ..core.status import Status
 from ..decisions.endpoint_assignment import assign_endpoints
-from ..decisions.endpoint_choice import LATEST_FRACTION, Candidate, Choice, Demand, choose
+from ..decisions.endpoint_choice import (
+    FIRST_EVENT_LIMIT_FRACTION,
+    Candidate,
+    Choice,
+    Demand,
+    choose,
+)
 from ..decisions.endpoint_health import Health, is_silent
 from ..decisions.endpoint_load import EndpointLoad
 from ..decisions.engine_forecast import pass_seconds
@@ -149,7 +155,7 @@
         if figures is None:
             latest = leaves_in * PLAIN_LATEST_FRACTION
         else:
-            latest = min(leaves_in, route.target_latency * LATEST_FRACTION)
+            latest = min(leaves_in, route.target_latency * FIRST_EVENT_LIMIT_FRACTION)
         risky = route.kind is RouteKind.UNSAFE or not route.idempotent
         traffic = self.traffic(service)
         demand = Demand(
