--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -34,7 +34,7 @@
 RETIRED_MARGIN_SECONDS = 0.7
 STALL_FACTOR = 3.0
 # Minimum time to start a request under load: one pass that reads a prompt, and the round trip.
-SHORTEST_BEGINNING_SECONDS = 0.3
+MIN_START_SECONDS = 0.3
 
 
 class RecallReason(enum.Enum):
@@ -82,7 +82,7 @@
     not_started = not waiting.begun and (waiting.tells_beginning or waiting.repeatable)
     if not_started and not waiting.may_begin:
         return RecallReason.WEIGHTS_OVERDUE
-    too_late_to_start = waiting.tells_beginning and waiting.leaves_in <= SHORTEST_BEGINNING_SECONDS
+    too_late_to_start = waiting.tells_beginning and waiting.leaves_in <= MIN_START_SECONDS
     if too_late_to_start and not waiting.begun:
         return RecallReason.CALLER_LEAVING
     if not waiting.silent:
--- a/wasabidrum/decisions/request_recall_test.py
+++ b/wasabidrum/decisions/request_recall_test.py
@@ -5,7 +5,7 @@
 
 from .request_recall import (
     RETIRED_MARGIN_SECONDS,
-    SHORTEST_BEGINNING_SECONDS,
+    MIN_START_SECONDS,
     RecallReason,
     Waiting,
     is_stalled,
@@ -108,8 +108,8 @@
         left."""
         reason, at = replay(99.0, 99.0, caller_leaves_after=3.2, reserve=refuse)
         self.assertEqual(reason, RecallReason.CALLER_LEAVING)
-        self.assertGreater(at, 3.2 - SHORTEST_BEGINNING_SECONDS - 0.01)
-        self.assertLess(at, 3.2 - SHORTEST_BEGINNING_SECONDS + 0.11)
+        self.assertGreater(at, 3.2 - MIN_START_SECONDS - 0.01)
+        self.assertLess(at, 3.2 - MIN_START_SECONDS + 0.11)
 
     def test_a_started_stream_is_not_ended_when_its_caller_would_give_up(self) -> None:
         begun = {"begun": True, "reserve": refuse}
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -10,7 +10,7 @@
 from ..decisions import poison
 from ..decisions.attempt_rule import AttemptEnd, AttemptHistory
 from ..decisions.endpoint_choice import Choice
-from ..decisions.request_recall import SHORTEST_BEGINNING_SECONDS, RecallReason
+from ..decisions.request_recall import MIN_START_SECONDS, RecallReason
 from ..observe.event import Event
 from .attempt import Attempt, AttemptError
 from .call import Call, StreamProgress
@@ -173,7 +173,7 @@
         call, progress = self._call, self._progress
         leaves_in = call.leaves_in(progress.last_event_at)
         if call.route.kind is RouteKind.STREAM:
-            leaves_in -= SHORTEST_BEGINNING_SECONDS
+            leaves_in -= MIN_START_SECONDS
         return self._gateway.placer.choose(
             call.route, self._service, call.head, tried, progress.weights, leaves_in, moved
         )
