--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class PlacedRequest:
     """A request in progress at an endpoint.
 
     Attributes:
@@ -73,24 +73,24 @@
     reserve: collections.abc.Callable[[], bool]
 
 
-def recall_reason(waiting: Waiting, drain: float) -> RecallReason | None:
+def recall_reason(request: PlacedRequest, drain: float) -> RecallReason | None:
     """Returns why a request is recalled now; None if it stays.
 
     Args:
       drain: Seconds after an endpoint starts to leave until it must receive no more requests.
     """
-    not_started = not waiting.begun and (waiting.tells_beginning or waiting.repeatable)
-    if not_started and not waiting.may_begin:
+    not_started = not request.begun and (request.tells_beginning or request.repeatable)
+    if not_started and not request.may_begin:
         return RecallReason.WEIGHTS_OVERDUE
-    too_late_to_start = waiting.tells_beginning and waiting.leaves_in <= MIN_START_SECONDS
-    if too_late_to_start and not waiting.begun:
+    too_late_to_start = request.tells_beginning and request.leaves_in <= MIN_START_SECONDS
+    if too_late_to_start and not request.begun:
         return RecallReason.CALLER_LEAVING
-    if not waiting.silent:
+    if not request.silent:
         return None
-    if waiting.repeatable and waiting.reserve():
+    if request.repeatable and request.reserve():
         return RecallReason.ENDPOINT_SILENT
-    retired = waiting.retired_seconds >= drain - RETIRED_MARGIN_SECONDS
-    if retired and waiting.repeatable and not waiting.begun:
+    retired = request.retired_seconds >= drain - RETIRED_MARGIN_SECONDS
+    if retired and request.repeatable and not request.begun:
         return RecallReason.ENDPOINT_RETIRED
     return None
 
--- a/wasabidrum/decisions/request_recall_test.py
+++ b/wasabidrum/decisions/request_recall_test.py
@@ -7,7 +7,7 @@
     RETIRED_MARGIN_SECONDS,
     MIN_START_SECONDS,
     RecallReason,
-    Waiting,
+    PlacedRequest,
     is_stalled,
     recall_reason,
 )
@@ -16,7 +16,7 @@
 # Silence after which an engine counts as stalled.
 SILENT_AFTER_SECONDS = 1.0
 SUSPENDED_SECONDS = 4.7
-WAITING = Waiting(
+REQUEST = PlacedRequest(
     begun=False,
     repeatable=True,
     may_begin=True,
@@ -44,15 +44,15 @@
     """
     for tenth in range(int(SUSPENDED_SECONDS * 10)):
         now = tenth / 10
-        waiting = dataclasses.replace(
-            WAITING,
+        request = dataclasses.replace(
+            REQUEST,
             may_begin=now < overdue_after,
             silent=now > SILENT_AFTER_SECONDS,
             retired_seconds=max(0.0, now - gone_after),
             leaves_in=caller_leaves_after - now,
             **facts,
         )
-        reason = recall_reason(waiting, DRAIN_SECONDS)
+        reason = recall_reason(request, DRAIN_SECONDS)
         if reason is not None:
             return reason, now
     return None, SUSPENDED_SECONDS
@@ -122,10 +122,10 @@
     def test_a_request_that_waits_at_a_busy_engine_stays(self) -> None:
         """Under overload, a request waits long for its first event while events of other
         requests arrive. If it were moved, it would lose its position in each queue."""
-        self.assertIsNone(recall_reason(WAITING, DRAIN_SECONDS))
+        self.assertIsNone(recall_reason(REQUEST, DRAIN_SECONDS))
 
     def test_a_leaving_endpoint_that_answers_keeps_its_requests(self) -> None:
-        leaving = dataclasses.replace(WAITING, retired_seconds=10.0)
+        leaving = dataclasses.replace(REQUEST, retired_seconds=10.0)
         self.assertIsNone(recall_reason(leaving, DRAIN_SECONDS))
 
     def test_reading_a_long_prompt_is_not_a_stall(self) -> None:
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -4,7 +4,7 @@
 import typing
 
 from ..core.awake_clock import awake_seconds
-from ..decisions.request_recall import RecallReason, Waiting, recall_reason
+from ..decisions.request_recall import RecallReason, PlacedRequest, recall_reason
 from .placement import Placed, Placer
 from .published_state import PublishedState
 
@@ -95,7 +95,7 @@
             placed = attempt.placed
             if not attempt.begun:
                 self._placer.record_waiting(placed, attempt.heard_at)
-            waiting = Waiting(
+            waiting = PlacedRequest(
                 begun=attempt.begun,
                 repeatable=attempt.repeatable,
                 may_begin=self.may_begin(placed),
