--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -67,7 +67,7 @@
         the length of the forecast.
       refused_share: Fraction of recent requests that were refused.
       moved: Whether the request was recalled from another endpoint.
-      leaves_in: Seconds until the caller gives up.
+      caller_leaves_in: Seconds until the caller gives up.
     """
 
     prompt_tokens: int
@@ -77,7 +77,7 @@
     corrections: Corrections = ()
     refused_share: float = 0.0
     moved: bool = False
-    leaves_in: float = float("inf")
+    caller_leaves_in: float = float("inf")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -197,7 +197,7 @@
     """
     if rank.seconds > demand.max_first_event_seconds:
         return False
-    return not demand.moved or rank.seconds + rank.candidate.lateness < demand.leaves_in
+    return not demand.moved or rank.seconds + rank.candidate.lateness < demand.caller_leaves_in
 
 
 def oldest_report(candidates: collections.abc.Sequence[Candidate], now: float) -> float:
--- a/wasabidrum/decisions/endpoint_choice_test.py
+++ b/wasabidrum/decisions/endpoint_choice_test.py
@@ -133,7 +133,7 @@
         """Guards against a request that starts behind a slow link after its caller has left."""
         late, prompt = self.make("late"), self.make("prompt", near=False)
         late = dataclasses.replace(late, lateness=0.8)
-        demand = Demand(900, 1.0, moved=True, leaves_in=0.6)
+        demand = Demand(900, 1.0, moved=True, caller_leaves_in=0.6)
         for _ in range(20):
             choice = choose([late, prompt], FIGURES, demand, 0.0, self.rng)
             self.assertEqual(choice.candidate.endpoint.id, "prompt")
--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -57,7 +57,7 @@
       tells_beginning: Whether its answer starts when it starts to run, as a stream does.
       silent: Whether its endpoint has stalled with requests of this entry, including this one.
       retired_seconds: How long its endpoint has been leaving or gone; zero if it is not.
-      leaves_in: Seconds until its caller gives up; infinite once a part of the answer was
+      caller_leaves_in: Seconds until its caller gives up; infinite once a part of the answer was
         forwarded.
       reserve: Reserves a slot at another endpoint and a retry; returns whether both were
         available. Called only if all other conditions for a move are met.
@@ -69,7 +69,7 @@
     tells_beginning: bool
     silent: bool
     retired_seconds: float
-    leaves_in: float
+    caller_leaves_in: float
     reserve: collections.abc.Callable[[], bool]
 
 
@@ -82,7 +82,7 @@
     not_started = not request.begun and (request.tells_beginning or request.repeatable)
     if not_started and not request.may_begin:
         return RecallReason.WEIGHTS_OVERDUE
-    too_late_to_start = request.tells_beginning and request.leaves_in <= MIN_START_SECONDS
+    too_late_to_start = request.tells_beginning and request.caller_leaves_in <= MIN_START_SECONDS
     if too_late_to_start and not request.begun:
         return RecallReason.CALLER_LEAVING
     if not request.silent:
--- a/wasabidrum/decisions/request_recall_test.py
+++ b/wasabidrum/decisions/request_recall_test.py
@@ -23,7 +23,7 @@
     tells_beginning=True,
     silent=False,
     retired_seconds=0.0,
-    leaves_in=float("inf"),
+    caller_leaves_in=float("inf"),
     reserve=lambda: True,
 )
 
@@ -49,7 +49,7 @@
             may_begin=now < overdue_after,
             silent=now > SILENT_AFTER_SECONDS,
             retired_seconds=max(0.0, now - gone_after),
-            leaves_in=caller_leaves_after - now,
+            caller_leaves_in=caller_leaves_after - now,
             **facts,
         )
         reason = recall_reason(request, DRAIN_SECONDS)
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -103,7 +103,7 @@
                 silent=not late
                 and self._placer.is_stalled(placed, attempt.heard_at, attempt.begun),
                 retired_seconds=now - self._retired_at.get(placed.endpoint.id, now),
-                leaves_in=attempt.leaves_in,
+                caller_leaves_in=attempt.leaves_in,
                 reserve=attempt.reserve_elsewhere,
             )
             reason = recall_reason(waiting, self._drain)
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -166,7 +166,7 @@
             corrections=traffic.bias.corrections(now),
             refused_share=traffic.refused_share(now),
             moved=moved,
-            leaves_in=leaves_in,
+            caller_leaves_in=leaves_in,
         )
         return choose(candidates, figures, demand, now, self._rng)
 
