--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -54,7 +54,7 @@
       begun: Whether any part of its answer has arrived.
       repeatable: Whether it may run more than once.
       may_begin: Whether its endpoint's weights may still be used to start a request.
-      tells_beginning: Whether its answer starts when it starts to run, as a stream does.
+      start_is_visible: Whether its answer starts when it starts to run, as a stream does.
       silent: Whether its endpoint has stalled with requests of this entry, including this one.
       retired_seconds: How long its endpoint has been leaving or gone; zero if it is not.
       caller_leaves_in: Seconds until its caller gives up; infinite once a part of the answer was
@@ -66,7 +66,7 @@
     begun: bool
     repeatable: bool
     may_begin: bool
-    tells_beginning: bool
+    start_is_visible: bool
     silent: bool
     retired_seconds: float
     caller_leaves_in: float
@@ -79,10 +79,10 @@
     Args:
       drain: Seconds after an endpoint starts to leave until it must receive no more requests.
     """
-    not_started = not request.begun and (request.tells_beginning or request.repeatable)
+    not_started = not request.begun and (request.start_is_visible or request.repeatable)
     if not_started and not request.may_begin:
         return RecallReason.WEIGHTS_OVERDUE
-    too_late_to_start = request.tells_beginning and request.caller_leaves_in <= MIN_START_SECONDS
+    too_late_to_start = request.start_is_visible and request.caller_leaves_in <= MIN_START_SECONDS
     if too_late_to_start and not request.begun:
         return RecallReason.CALLER_LEAVING
     if not request.silent:
--- a/wasabidrum/decisions/request_recall_test.py
+++ b/wasabidrum/decisions/request_recall_test.py
@@ -20,7 +20,7 @@
     begun=False,
     repeatable=True,
     may_begin=True,
-    tells_beginning=True,
+    start_is_visible=True,
     silent=False,
     retired_seconds=0.0,
     caller_leaves_in=float("inf"),
@@ -92,9 +92,9 @@
     def test_a_unary_request_that_may_run_once_stays_whatever_its_weights(self) -> None:
         """A charge is answered in one piece, so a running one looks like a waiting one. If it
         were recalled, it might have run, and its caller would not know the outcome."""
-        whole = {"repeatable": False, "tells_beginning": False}
+        whole = {"repeatable": False, "start_is_visible": False}
         self.assertIsNone(replay(3.0, 1.0, **whole)[0])
-        again = {"repeatable": True, "tells_beginning": False, "reserve": refuse}
+        again = {"repeatable": True, "start_is_visible": False, "reserve": refuse}
         self.assertEqual(replay(3.0, 9.0, **again)[0], RecallReason.WEIGHTS_OVERDUE)
 
     def test_a_started_stream_stays_if_no_other_endpoint_can_continue_it(self) -> None:
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -99,7 +99,7 @@
                 begun=attempt.begun,
                 repeatable=attempt.repeatable,
                 may_begin=self.may_begin(placed),
-                tells_beginning=attempt.tells_beginning,
+                start_is_visible=attempt.tells_beginning,
                 silent=not late
                 and self._placer.is_stalled(placed, attempt.heard_at, attempt.begun),
                 retired_seconds=now - self._retired_at.get(placed.endpoint.id, now),
