--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -92,7 +92,8 @@
       available: How many of them are healthy or due for a probe.
       report_age: Age in seconds of their oldest load report, set if the request is refused for
         overload; else zero.
-      uncorrected_seconds: Forecast for the chosen endpoint from the published figures, before corrections.
+      uncorrected_seconds: Forecast for the chosen endpoint from the published figures, before
+        corrections.
     """
 
     candidate: Candidate | None
--- a/wasabidrum/decisions/request_recall_test.py
+++ b/wasabidrum/decisions/request_recall_test.py
@@ -4,10 +4,10 @@
 import unittest
 
 from .request_recall import (
-    RETIRED_MARGIN_SECONDS,
     MIN_START_SECONDS,
-    RecallReason,
+    RETIRED_MARGIN_SECONDS,
     PlacedRequest,
+    RecallReason,
     is_stalled,
     recall_reason,
 )
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -4,7 +4,7 @@
 import typing
 
 from ..core.awake_clock import awake_seconds
-from ..decisions.request_recall import RecallReason, PlacedRequest, recall_reason
+from ..decisions.request_recall import PlacedRequest, RecallReason, recall_reason
 from .placement import Placed, Placer
 from .published_state import PublishedState
 
