--- a/wasabidrum/decisions/admission_queue.py
+++ b/wasabidrum/decisions/admission_queue.py
@@ -17,7 +17,7 @@
 from .fair_share import FairShare
 from .ticket import Refusal, Ticket, TicketState
 
-CLASSES = 3
+PRIORITY_CLASSES = 3
 # By priority class.
 MAX_WAIT_SECONDS = (5.0, 1.0, 0.6)
 RESERVED_FRACTION = 0.1
@@ -43,7 +43,7 @@
         self._shares = FairShare()
         self._mean_run_seconds = 0.0
         self._wait_correction = 1.0
-        self._queues = tuple(FairQueue() for _ in range(CLASSES))
+        self._queues = tuple(FairQueue() for _ in range(PRIORITY_CLASSES))
         self._limit = 0.0
         self._running = 0
         self._seconds_per_cost = 0.0
--- a/wasabidrum/decisions/endpoint_choice.py
+++ b/wasabidrum/decisions/endpoint_choice.py
@@ -64,7 +64,7 @@
         healthy endpoint is available.
       others_rate: Requests per second that other entries send to each endpoint.
       corrections: By how much first events have recently exceeded their forecast, indexed by
-        the length of the forecast.
+        whether the forecast is short, medium or long.
       refused_share: Fraction of recent requests that were refused.
       moved: Whether the request was recalled from another endpoint.
       caller_leaves_in: Seconds until the caller gives up.
@@ -134,12 +134,12 @@
     rng: random.Random,
 ) -> Choice:
     """Returns the endpoint for a request, or a refusal."""
-    able = [c for c in candidates if c.load.health.may_receive(now)]
-    healthy = [c for c in able if c.load.health.health is Health.HEALTHY]
+    available = [c for c in candidates if c.load.health.may_receive(now)]
+    healthy = [c for c in available if c.load.health.health is Health.HEALTHY]
     # A request may be used as a probe of an unhealthy endpoint, but not one that must not be
     # repeated while a healthy endpoint is available, and never one that was moved: it has
     # already waited at a stalled endpoint.
-    pool = healthy if demand.moved or (demand.non_repeatable and healthy) else able
+    pool = healthy if demand.moved or (demand.non_repeatable and healthy) else available
     known = len(candidates)
     if not pool:
         return Choice(None, float("inf"), retry_after_next_probe(candidates, now), known)
@@ -151,11 +151,11 @@
         )
         # Endpoints assigned to other entries are filled by those entries. This entry uses them
         # only if its own endpoints would take noticeably longer.
-        penalized = seconds if candidate.assigned else seconds + UNASSIGNED_PENALTY_SECONDS
+        penalized_seconds = seconds if candidate.assigned else seconds + UNASSIGNED_PENALTY_SECONDS
         penalty = 0.0 if candidate.near else OTHER_REGION_PENALTY_SECONDS
         penalty += FAILURE_PENALTY_SECONDS * candidate.load.failures.value(now)
-        order = penalized * (1.0 + JITTER * rng.random()) + penalty
-        ranked.append(RankedCandidate(order, penalized, uncorrected_seconds, candidate))
+        order = penalized_seconds * (1.0 + JITTER * rng.random()) + penalty
+        ranked.append(RankedCandidate(order, penalized_seconds, uncorrected_seconds, candidate))
     in_time = [rank for rank in ranked if starts_in_time(rank, demand)]
     if not in_time:
         soonest = min(rank.seconds for rank in ranked)
@@ -179,7 +179,7 @@
 
     Attributes:
       order: Sort key; the candidate with the lowest value is chosen.
-      seconds: Forecast that is compared with the latest useful first event.
+      seconds: Forecast that is compared with Demand.max_first_event_seconds.
       uncorrected_seconds: Forecast from the published figures alone.
     """
 
@@ -213,7 +213,7 @@
     """Returns after how many seconds a caller that is refused for overload should retry.
 
     Args:
-      excess_seconds: By how much the earliest forecast exceeds the latest useful first event.
+      excess_seconds: By how much the earliest forecast exceeds max_first_event_seconds.
       refused_share: Fraction of recent requests that were refused.
     """
     usual = run_seconds(figures, figures.slots) / figures.slots if figures is not None else 0.0
--- a/wasabidrum/decisions/endpoint_choice_test.py
+++ b/wasabidrum/decisions/endpoint_choice_test.py
@@ -68,10 +68,10 @@
         assigned to other entries, the entries there would refuse them while those engines
         idle."""
         engines = [FakeEngine() for _ in range(24)]
-        game = Replay(engines, 12, AIM_SECONDS * FIRST_EVENT_LIMIT_FRACTION)
-        for entry in game.entries:
+        simulation = Replay(engines, 12, AIM_SECONDS * FIRST_EVENT_LIMIT_FRACTION)
+        for entry in simulation.entries:
             entry.weight = 2.0 if entry.data_centre == "0" else 0.5
-        jobs = game.play(150.0)
+        jobs = simulation.play(150.0)
         self.assertGreater(on_time(jobs), 0.9 * len(jobs) / 15.0)
 
 
@@ -111,13 +111,13 @@
     def test_a_charge_is_not_used_as_a_probe_if_another_endpoint_is_healthy(self) -> None:
         """An endpoint fails some of its calls. A charge sent there as a probe may end with an
         unknown outcome."""
-        sound, failing = self.make("sound"), self.make("failing")
+        healthy, failing = self.make("healthy"), self.make("failing")
         failing.load.record_run(0.001)
         for _ in range(2):
             failing.load.health.record_failure(0.0)
         for _ in range(20):
-            choice = choose([sound, failing], None, Demand(0, 1.0, True), 100.0, self.rng)
-            self.assertEqual(choice.candidate.endpoint.id, "sound")
+            choice = choose([healthy, failing], None, Demand(0, 1.0, True), 100.0, self.rng)
+            self.assertEqual(choice.candidate.endpoint.id, "healthy")
 
     def test_a_request_moved_from_a_stalled_endpoint_is_not_used_as_a_probe(self) -> None:
         """Guards against a move from one suspended engine to another suspended one."""
--- a/wasabidrum/decisions/expected_cost.py
+++ b/wasabidrum/decisions/expected_cost.py
@@ -5,10 +5,11 @@
 most of the engines. If max_tokens were counted, the other would be refused for work that it
 never causes.
 
-A moving average of the actual cost of requests is kept per workspace. A decaying percentile, as
-the Vertical Pod Autoscaler uses for resource usage, was measured for comparison
-(bench/expected_cost.py). It protects a container from being killed after a single excess,
-whereas here errors in both directions cost the same and are corrected while answers stream.
+A moving average of the actual cost of requests is kept for each workspace and target. A
+decaying percentile, as the Vertical Pod Autoscaler uses for resource usage, was measured for
+comparison (bench/expected_cost.py). It protects a container from being killed after a single
+excess, whereas here errors in both directions cost the same and are corrected while answers
+stream.
 """
 
 SAMPLE_WEIGHT = 1.0 / 16.0
--- a/wasabidrum/decisions/routing.py
+++ b/wasabidrum/decisions/routing.py
@@ -24,7 +24,7 @@
 
 from .endpoint_state import EndpointState
 
-CANDIDATES_DRAWN = 2
+CHOICES = 2
 MAX_DRAWS = 6
 REMOTE_PENALTY = 0.05
 AFFINITY_LOAD_FACTOR = 1.2
@@ -125,21 +125,17 @@
     def _draw_candidates(self, tier: list[EndpointState], has_room) -> list[EndpointState]:
         if len(tier) <= MAX_DRAWS:
             found = [state for state in tier if has_room(state)]
-            return (
-                found
-                if len(found) <= CANDIDATES_DRAWN
-                else self._rng.sample(found, CANDIDATES_DRAWN)
-            )
+            return found if len(found) <= CHOICES else self._rng.sample(found, CHOICES)
         found = []
         for _ in range(MAX_DRAWS):
             state = self._rng.choice(tier)
             if has_room(state) and state not in found:
                 found.append(state)
-                if len(found) == CANDIDATES_DRAWN:
+                if len(found) == CHOICES:
                     return found
         # Nearly all endpoints are full. Only in this case are all of them checked, so that no
         # request is refused while an endpoint still has room.
-        return found or [state for state in tier if has_room(state)][:CANDIDATES_DRAWN]
+        return found or [state for state in tier if has_room(state)][:CHOICES]
 
     def _score(self, state: EndpointState, mean_recent_requests: float, now: float) -> float:
         busy = 1.0 + state.mean_queue(now) / state.slots
