--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -49,7 +49,7 @@
                 limit.restart()
             self.assertGreaterEqual(limit.value, MIN_LIMIT)
             self.assertLessEqual(limit.value, MAX_LIMIT)
-            self.assertGreaterEqual(limit.places, 1)
+            self.assertGreaterEqual(limit.max_requests, 1)
 
     def test_repeated_reports_of_one_queue_decrease_the_limit_once(self) -> None:
         """Reports lag by a second, so a queue that a decrease has already ended is reported
