--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -7,7 +7,12 @@
 from wasabidrum.core.listed_endpoint import ListedEndpoint
 from wasabidrum.core.published import EngineFigures
 from wasabidrum.decisions.endpoint_assignment import assign_endpoints
-from wasabidrum.decisions.endpoint_choice import LATEST_FRACTION, Candidate, Demand, choose
+from wasabidrum.decisions.endpoint_choice import (
+    FIRST_EVENT_LIMIT_FRACTION,
+    Candidate,
+    Demand,
+    choose,
+)
 from wasabidrum.decisions.endpoint_load import EndpointLoad
 from wasabidrum.decisions.engine_forecast import pass_seconds, read_seconds
 from wasabidrum.decisions.forecast_bias import ForecastBias
@@ -188,8 +193,8 @@
         if choice.candidate is None:
             job.refused = True
             return
-        job.forecast = choice.raw
-        choice.candidate.load.placed(prompt, now)
+        job.forecast = choice.uncorrected_seconds
+        choice.candidate.load.record_placed(prompt, now)
         entry.rate.record(now)
         place = self._endpoints.index(choice.candidate.endpoint)
         self._places[id(job)] = place
@@ -204,7 +209,7 @@
         for job in [item[0] for item in engine.running] + engine.ended:
             self._tell_first_event(job, number, now)
         for job in engine.ended:
-            self._load(job, number).ended(job.prompt, True)
+            self._load(job, number).record_ended(job.prompt, True)
         engine.ended = []
         if engine.requests:
             engine.free_at = engine.run_pass(now)
@@ -214,7 +219,7 @@
         if id(job) in self._told:
             return
         self._told.add(id(job))
-        self._load(job, number).first_event(job.prompt, now)
+        self._load(job, number).record_first_event(job.prompt, now)
         self.entries[job.entry].bias.record(job.forecast, now - job.arrived, now)
 
     def _load(self, job: Job, number: int) -> EndpointLoad:
@@ -224,7 +229,7 @@
 def replay(
     rate: float,
     engines: int | list[FakeEngine],
-    latest: float = AIM_SECONDS * LATEST_FRACTION,
+    latest: float = AIM_SECONDS * FIRST_EVENT_LIMIT_FRACTION,
     entries: int = 3,
     share: bool = True,
 ) -> list[Job]:
--- a/wasabidrum/entry/attempt_judge.py
+++ b/wasabidrum/entry/attempt_judge.py
@@ -58,17 +58,17 @@
     def record_end(self, placement: Placement, pool: TargetPool, code: str, now: float) -> None:
         """Records the end of one attempt."""
         item, state = placement.item, placement.state
-        state.ended()
+        state.record_ended()
         if placement.progress_at is not None:
             state.streaming -= 1
         if placement.suspect:
-            self._guard.ended(state.name)
+            self._guard.record_ended(state.name)
         if not code:
             self._take_success(placement, pool, now)
         elif code in NEUTRAL_CODES or now >= item.deadline - SHORTEST_TIME:
             # A caller's own short deadline says nothing against the endpoint; counted as a
             # failure, a few such callers could have every endpoint taken out of service.
-            state.health.probe_ended(now)
+            state.health.end_probe(now)
         else:
             self._take_failure(placement, code, pool, now)
 
@@ -115,7 +115,7 @@
         state.limit.record_failure(now)
         lost = code == "engine_lost" or placement.head_at is not None
         if item.fingerprint and lost and code in DEATH_CODES:
-            self._guard.saw_death(item.fingerprint, state.name, now)
+            self._guard.record_death(item.fingerprint, state.name, now)
             self._log.write(
                 Event.REQUEST_SUSPECTED,
                 request=item.request_id,
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -64,7 +64,7 @@
         limits = [
             state.limit.value
             for state in self.states.values()
-            if state.health.may_take(now) and self.can_take(state.name)
+            if state.health.may_receive(now) and self.can_take(state.name)
         ]
         self.queue.set_limit(sum(limits))
         return True
@@ -91,7 +91,7 @@
         who could serve its callers faster.
         """
         paces = [
-            peer.pace(now)
+            peer.seconds_per_token(now)
             for peer in self.states.values()
             if peer is not state
             and peer.health.health is Health.HEALTHY
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -77,12 +77,12 @@
         if item.fingerprint and self._guard.is_blocked(item.fingerprint, now):
             raise blocked_error()
         ticket = self._costs.make_ticket(item)
-        if not self._room.take(item.priority):
+        if not self._room.acquire(item.priority):
             raise refusal_error(Refusal("entry_full", "this entry holds too many requests", 1.0))
         try:
             self._costs.charge(item, ticket, now)
         except CodedError:
-            self._room.give_back()
+            self._room.release()
             raise
         refusal = pool.queue.offer(ticket, now)
         unplaced = refusal is not None and refusal.code == "no_endpoint"
@@ -90,7 +90,7 @@
             now = loop.time()
             refusal = pool.queue.offer(ticket, now)
         if refusal is not None:
-            self._room.give_back()
+            self._room.release()
             self._costs.refund(item, ticket)
             raise self._refuse(refusal, pool, now)
         permit = Permit(self, pool, ticket, item)
@@ -138,9 +138,9 @@
             self._budget.earn()
         item.placements += 1
         probe = state.health.health is not Health.HEALTHY
-        state.placed(now)
+        state.record_placed(now)
         if suspect:
-            self._guard.started(state.name)
+            self._guard.record_started(state.name)
         reason = "probe" if probe else "prefix" if state.name in preferred else "load"
         self._log.write(
             Event.REQUEST_PLACED,
@@ -182,7 +182,7 @@
         self._table.take_status(status)
         now = asyncio.get_running_loop().time()
         if status.suspects:
-            self._guard.record_reported(status.name, status.suspects, now)
+            self._guard.record_reported_deaths(status.name, status.suspects, now)
         pool = self._pools.get((status.model, status.service))
         if pool is not None and status.name in pool.states:
             pool.record_report(status.name, pool.views[status.name], now)
@@ -207,7 +207,7 @@
         cost = self._costs.settle(item, ticket)
         pool.waiters.pop(ticket, None)
         pool.queue.end(ticket, now, cost)
-        self._room.give_back()
+        self._room.release()
         self._advance(pool, now)
 
     def _choose(
@@ -221,7 +221,7 @@
         def allowed(state: EndpointState) -> bool:
             return (
                 state.name not in tried
-                and state.health.may_take(now)
+                and state.health.may_receive(now)
                 and pool.can_take(state.name)
                 and not (suspect and not self._guard.may_run_at(state.name))
             )
@@ -245,7 +245,7 @@
         try:
             return await self.wait_for_endpoint(item)
         except asyncio.CancelledError:
-            self._room.give_back()
+            self._room.release()
             self._costs.refund(item, ticket)
             raise
 
@@ -280,7 +280,7 @@
                 self._judge.eject(pool, state, f"silent for {silent:.1f} s")
         for name, view in pool.views.items():
             if view.status is not None and view.status.suspects:
-                self._guard.record_reported(name, view.status.suspects, now)
+                self._guard.record_reported_deaths(name, view.status.suspects, now)
 
     def _set_timer(self, pool: TargetPool, now: float) -> None:
         if pool.timer is not None:
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -149,7 +149,7 @@
             raise
         finally:
             self._gateway.attempts.discard(self)
-            placed.load.ended(prompt, self._answered)
+            placed.load.record_ended(prompt, self._answered)
             if self._connection is not None:
                 self._connection.close()
 
@@ -261,4 +261,4 @@
             self._progress.weights = self._placed.weights
             await self._exchange.begin_stream(head)
         self._heard_at = self._progress.last_event_at = loop.time()
-        self._placed.load.progressed(self._heard_at)
+        self._placed.load.record_progress(self._heard_at)
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -4,7 +4,7 @@
 import typing
 
 from ..core.awake_clock import awake_seconds
-from ..decisions.request_recall import RecallReason, Waiting, recall_reason
+from ..decisions.request_recall import PlacedRequest, RecallReason, recall_reason
 from .placement import Placed, Placer
 from .published_state import PublishedState
 
@@ -95,15 +95,15 @@
             placed = attempt.placed
             if not attempt.begun:
                 self._placer.record_waiting(placed, attempt.heard_at)
-            waiting = Waiting(
+            waiting = PlacedRequest(
                 begun=attempt.begun,
                 repeatable=attempt.repeatable,
                 may_begin=self.may_begin(placed),
-                tells_beginning=attempt.tells_beginning,
+                start_is_visible=attempt.tells_beginning,
                 silent=not late
                 and self._placer.is_stalled(placed, attempt.heard_at, attempt.begun),
                 retired_seconds=now - self._retired_at.get(placed.endpoint.id, now),
-                leaves_in=attempt.leaves_in,
+                caller_leaves_in=attempt.leaves_in,
                 reserve=attempt.reserve_elsewhere,
             )
             reason = recall_reason(waiting, self._drain)
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -10,7 +10,7 @@
 from ..decisions import poison
 from ..decisions.attempt_rule import AttemptEnd, AttemptHistory
 from ..decisions.endpoint_choice import Choice
-from ..decisions.request_recall import SHORTEST_BEGINNING_SECONDS, RecallReason
+from ..decisions.request_recall import MIN_START_SECONDS, RecallReason
 from ..observe.event import Event
 from .attempt import Attempt, AttemptError
 from .call import Call, StreamProgress
@@ -161,7 +161,7 @@
         self._exchange.note(
             service=self._service,
             endpoints_known=choice.known,
-            endpoints_able=choice.able,
+            endpoints_able=choice.available,
             report_age=choice.report_age,
         )
         code = "overloaded" if choice.seconds < float("inf") else "no_endpoint"
@@ -173,7 +173,7 @@
         call, progress = self._call, self._progress
         leaves_in = call.leaves_in(progress.last_event_at)
         if call.route.kind is RouteKind.STREAM:
-            leaves_in -= SHORTEST_BEGINNING_SECONDS
+            leaves_in -= MIN_START_SECONDS
         return self._gateway.placer.choose(
             call.route, self._service, call.head, tried, progress.weights, leaves_in, moved
         )
@@ -197,7 +197,7 @@
     def _release(self) -> None:
         """Gives back what was reserved and not used, as when its caller has left meanwhile."""
         if self._reserved is not None:
-            self._reserved.load.ended(self._call.head.prompt_tokens, False)
+            self._reserved.load.record_ended(self._call.head.prompt_tokens, False)
             self._gateway.placer.record_no_verdict(self._reserved)
             self._reserved = None
 
@@ -226,7 +226,7 @@
             endpoint=placed.endpoint.id,
             weights=placed.weights,
             forecast=round(placed.seconds, 3),
-            in_progress=placed.load.own,
+            in_progress=placed.load.own_requests,
             after=failure,
         )
 
@@ -261,7 +261,7 @@
             self._gateway.placer.record_no_verdict(placed)
         if error.code in DEATH_CODES:
             now = asyncio.get_running_loop().time()
-            self._gateway.guard.saw_death(self._fingerprint, placed.endpoint.id, now)
+            self._gateway.guard.record_death(self._fingerprint, placed.endpoint.id, now)
             self._gateway.peers.tell_suspect(placed.endpoint.id, self._fingerprint)
             self._gateway.log.write(
                 Event.REQUEST_SUSPECTED,
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -12,7 +12,13 @@
 from ..core.route import Route, RouteKind
 from ..core.status import Status
 from ..decisions.endpoint_assignment import assign_endpoints
-from ..decisions.endpoint_choice import LATEST_FRACTION, Candidate, Choice, Demand, choose
+from ..decisions.endpoint_choice import (
+    FIRST_EVENT_LIMIT_FRACTION,
+    Candidate,
+    Choice,
+    Demand,
+    choose,
+)
 from ..decisions.endpoint_health import Health, is_silent
 from ..decisions.endpoint_load import EndpointLoad
 from ..decisions.engine_forecast import pass_seconds
@@ -149,7 +155,7 @@
         if figures is None:
             latest = leaves_in * PLAIN_LATEST_FRACTION
         else:
-            latest = min(leaves_in, route.target_latency * LATEST_FRACTION)
+            latest = min(leaves_in, route.target_latency * FIRST_EVENT_LIMIT_FRACTION)
         risky = route.kind is RouteKind.UNSAFE or not route.idempotent
         traffic = self.traffic(service)
         demand = Demand(
@@ -160,7 +166,7 @@
             corrections=traffic.bias.corrections(now),
             refused_share=traffic.refused_share(now),
             moved=moved,
-            leaves_in=leaves_in,
+            caller_leaves_in=leaves_in,
         )
         return choose(candidates, figures, demand, now, self._rng)
 
@@ -171,7 +177,7 @@
         endpoint, load = choice.candidate.endpoint, choice.candidate.load
         is_engine = self._state.engine_of(endpoint.service) is not None
         version = endpoint.weights if is_engine else 0
-        return Placed(endpoint, load, version, choice.seconds, choice.raw)
+        return Placed(endpoint, load, version, choice.seconds, choice.uncorrected_seconds)
 
     def record_refusal(self, service: str) -> None:
         """Counts a request that no endpoint could take."""
@@ -187,13 +193,13 @@
     def begin(self, placed: Placed, prompt_tokens: int) -> None:
         """Counts a request that is sent to its endpoint."""
         now = asyncio.get_running_loop().time()
-        placed.load.placed(prompt_tokens, now, placed.seconds)
+        placed.load.record_placed(prompt_tokens, now, placed.seconds)
         self.traffic(placed.endpoint.service).rate.record(now)
 
     def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
         """Records a request's first event, some seconds after it was placed."""
         now = asyncio.get_running_loop().time()
-        placed.load.first_event(prompt_tokens, now)
+        placed.load.record_first_event(prompt_tokens, now)
         placed.load.lateness.record(seconds - placed.seconds, now)
         self.traffic(placed.endpoint.service).bias.record(placed.raw, seconds, now)
 
@@ -205,7 +211,7 @@
     def record_failure(self, placed: Placed, reason: str) -> None:
         """Records a failure that may be the endpoint's own."""
         now = asyncio.get_running_loop().time()
-        placed.load.record_end(True, now)
+        placed.load.record_outcome(True, now)
         if placed.load.health.record_failure(now):
             self._tell_ejected(placed.endpoint, placed.load, reason)
 
@@ -213,17 +219,17 @@
         """Records that an engine does not hold the weights on which a request was placed there."""
         now = asyncio.get_running_loop().time()
         self._told.record_refusal(placed.endpoint.id, now)
-        placed.load.health.probe_ended(now)
+        placed.load.health.end_probe(now)
 
     def record_success(self, placed: Placed) -> None:
         """Records a whole answer."""
-        placed.load.record_end(False, asyncio.get_running_loop().time())
+        placed.load.record_outcome(False, asyncio.get_running_loop().time())
         if placed.load.health.record_success(0.0):
             self._log.write(Event.ENDPOINT_RETURNED, endpoint=placed.endpoint.id)
 
     def record_no_verdict(self, placed: Placed) -> None:
         """Records the end of a request that tells nothing of the endpoint."""
-        placed.load.health.probe_ended(asyncio.get_running_loop().time())
+        placed.load.health.end_probe(asyncio.get_running_loop().time())
 
     def take_status(self, status: Status) -> None:
         """Takes what the sidecar beside an engine tells of it."""
@@ -339,5 +345,7 @@
 
     def _forget_unlisted(self) -> None:
         listed = {(e.id, e.started_at) for e in self._state.endpoints.endpoints}
-        for key in [k for k, load in self._loads.items() if k not in listed and not load.own]:
+        for key in [
+            k for k, load in self._loads.items() if k not in listed and not load.own_requests
+        ]:
             del self._loads[key]
