--- a/wasabidrum/decisions/__init__.py
+++ b/wasabidrum/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Whom to serve, who waits, who is refused and where work goes; pure, with no network."""
+"""Decisions on routing, admission, refusal and membership; pure logic without network access."""
--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -1,27 +1,28 @@
-"""What the end of an attempt proves, and what its caller is told.
+"""Which outcome the end of an attempt proves, and which status the caller gets.
 
-Load pattern: endpoints crash, lose answers, refuse when they are full and are cut off, while
-callers send charges. Sent again after a loss, a charge runs twice; told "not run" after one,
-its caller sends it again and it runs twice all the same. Told "unknown" where it was refused, a
-caller gives up a charge that could have been made.
+Load pattern: endpoints crash, lose responses, refuse requests when full or are cut off, while
+callers send requests that are not idempotent, such as charges. A charge that is retried after a
+lost response may run twice. So may one that is reported as "not run" after a lost response,
+because its caller sends it again. A refused charge that is reported as "unknown" is given up by
+its caller although it could be retried safely.
 
-An attempt that never left, or that its endpoint refused before it began, has not run. Any other
-end proves nothing, so that only requests that may be repeated go elsewhere after it, and the
-caller is told "not run" only where every attempt of its request has that proof.
+An attempt that was never sent, or that its endpoint refused before starting it, has not run. Any
+other end proves nothing. After such an end only idempotent requests are retried elsewhere, and
+the caller is told "not run" only if every attempt of the request provably did not run.
 """
 
 import enum
 
 NOT_RUN_STATUS = 503
 UNKNOWN_STATUS = 502
-LATE_STATUS = 504
+TIMEOUT_STATUS = 504
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt ended without an answer for its caller.
+    """How an attempt ended without a response for its caller.
 
-    NOT_SENT and REFUSED prove that it has not run. FAILED is the endpoint's own failure, after
-    it ran. LOST proves nothing.
+    NOT_SENT and REFUSED prove that it has not run. FAILED is an error response of the endpoint,
+    which may have run it. LOST proves nothing.
     """
 
     NOT_SENT = "not_sent"
@@ -38,14 +39,14 @@
 
     Attributes:
       runs: Attempts that may have run.
-      sends: Attempts of which a byte may have left.
+      sends: Attempts of which at least one byte may have been sent.
     """
 
-    __slots__ = ("_idempotent", "_most_runs", "runs", "sends")
+    __slots__ = ("_idempotent", "_max_runs", "runs", "sends")
 
-    def __init__(self, idempotent: bool, most_runs: int) -> None:
+    def __init__(self, idempotent: bool, max_runs: int) -> None:
         self._idempotent = idempotent
-        self._most_runs = most_runs
+        self._max_runs = max_runs
         self.runs = 0
         self.sends = 0
 
@@ -55,24 +56,24 @@
         return self.runs > 0
 
     def take(self, end: AttemptEnd) -> None:
-        """Takes the end of an attempt."""
+        """Records the end of an attempt."""
         if end is not AttemptEnd.NOT_SENT:
             self.sends += 1
         if end not in PROVES_NOT_RUN:
             self.runs += 1
 
     def may_go_on(self) -> bool:
-        """Returns whether another endpoint may be asked, as far as outcomes go."""
+        """Returns whether the ends so far allow an attempt at another endpoint."""
         if not self.may_have_run:
             return True
-        return self._idempotent and self.runs < self._most_runs
+        return self._idempotent and self.runs < self._max_runs
 
     def may_follow_a_run(self) -> bool:
-        """Returns whether a run may be given up for another, as far as outcomes go."""
-        return self._idempotent and self.runs + 1 < self._most_runs
+        """Returns whether a running attempt may be abandoned for one at another endpoint."""
+        return self._idempotent and self.runs + 1 < self._max_runs
 
-    def final_status(self, late: bool) -> int:
-        """Returns the status of a final answer that is not an endpoint's."""
+    def final_status(self, timed_out: bool) -> int:
+        """Returns the HTTP status of an error response that does not come from an endpoint."""
         if not self.may_have_run:
             return NOT_RUN_STATUS
-        return LATE_STATUS if late else UNKNOWN_STATUS
+        return TIMEOUT_STATUS if timed_out else UNKNOWN_STATUS
--- a/wasabidrum/decisions/clock_gap_test.py
+++ b/wasabidrum/decisions/clock_gap_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a process believes after it slept."""
+"""Tests of what a process may act on after it was paused."""
 
 import unittest
 
@@ -6,11 +6,12 @@
 
 
 class ClockGapTest(unittest.TestCase):
-    """After a pause nothing counts as verified until somebody was asked and answered."""
+    """After a pause nothing counts as verified until a new request was answered."""
 
-    def test_word_that_waited_in_the_socket_proves_nothing(self) -> None:
-        """An instance pauses for ten seconds while ten revisions pass. Messages that arrived
-        meanwhile look fresh when it wakes; without this it would order the old version."""
+    def test_a_message_buffered_during_a_pause_verifies_nothing(self) -> None:
+        """An instance is paused for ten seconds while ten revisions are published. Messages that
+        arrived meanwhile look fresh when it resumes; acting on them, it would order an old version.
+        """
         gap = ClockGap(0.0)
         gap.confirm(0.1, 0.2)
         self.assertTrue(gap.recently_verified(0.5))
@@ -24,13 +25,13 @@
         gap.hear(11.9)
         self.assertTrue(gap.recently_verified(12.8))
 
-    def test_whoever_acts_first_after_a_pause_notices_it(self) -> None:
+    def test_any_first_call_after_a_pause_detects_it(self) -> None:
         gap = ClockGap(0.0)
         gap.confirm(0.0, 0.0)
         self.assertFalse(gap.recently_verified(2.5))
         self.assertEqual(gap.pauses, 1)
 
-    def test_silence_of_others_ends_the_belief(self) -> None:
+    def test_verification_expires_without_further_messages(self) -> None:
         gap = ClockGap(0.0)
         gap.confirm(0.0, 0.0)
         for turn in range(40):
--- a/wasabidrum/decisions/endpoint_book_test.py
+++ b/wasabidrum/decisions/endpoint_book_test.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are, around outages of the store."""
+"""Tests of the registered endpoints, around outages of the store."""
 
 import unittest
 
@@ -7,71 +7,71 @@
 from hypothesis import strategies
 
 from ..core.listed_endpoint import ListedEndpoint
-from .endpoint_book import RETURN_SECONDS, TROUBLE_SECONDS, EndpointBook
+from .endpoint_book import GRACE_SECONDS, STORE_FAILURE_SECONDS, EndpointBook
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
 
 
-def make_endpoint(name: str, **facts: object) -> ListedEndpoint:
-    """Returns an endpoint with nothing special."""
-    return ListedEndpoint(name, "tally", "10.0.0.1", 80, "rift-a", **facts)
+def make_endpoint(name: str, **fields: object) -> ListedEndpoint:
+    """Returns an endpoint with default properties."""
+    return ListedEndpoint(name, "tally", "10.0.0.1", 80, "rift-a", **fields)
 
 
-def ids_of(book: EndpointBook) -> set[str]:
+def ids_of(registry: EndpointBook) -> set[str]:
     """Returns the ids of all endpoints in use."""
-    return {endpoint.id for endpoint in book.endpoints}
+    return {endpoint.id for endpoint in registry.endpoints}
 
 
 class EndpointBookTest(unittest.TestCase):
-    """A book with two endpoints."""
+    """Two registered endpoints."""
 
     def setUp(self) -> None:
-        self.book = EndpointBook()
-        self.book.take(make_endpoint("a"), 10)
-        self.book.take(make_endpoint("b"), 11)
-
-    def test_one_that_leaves_while_the_store_works_is_out_at_once(self) -> None:
-        """An endpoint registers itself off and goes. Kept for a moment, it would get
-        requests that nobody answers."""
-        self.assertTrue(self.book.take_removal("a", 12, now=50.0))
-        self.assertEqual(ids_of(self.book), {"b"})
-
-    def test_registrations_that_lapse_in_an_outage_keep_their_place_for_a_moment(self) -> None:
-        """The store is down, and registrations lapse because nobody can renew them. Believed
-        at once, every endpoint would be out together and every caller refused, until all have
+        self.registry = EndpointBook()
+        self.registry.take(make_endpoint("a"), 10)
+        self.registry.take(make_endpoint("b"), 11)
+
+    def test_an_endpoint_removed_while_the_store_works_is_removed_at_once(self) -> None:
+        """An endpoint deregisters and exits. Kept in routing, it would get requests that nobody
+        answers."""
+        self.assertTrue(self.registry.take_removal("a", 12, now=50.0))
+        self.assertEqual(ids_of(self.registry), {"b"})
+
+    def test_registrations_that_lapse_in_an_outage_get_a_grace_period(self) -> None:
+        """The store is down, and registrations lapse because they cannot be renewed. Applied at
+        once, this would remove every endpoint and refuse every caller, until all endpoints have
         registered again two seconds later."""
-        self.book.record_trouble(50.0)
-        self.assertEqual(self.book.take_listed(set(), 50.1), [])
-        self.assertEqual(ids_of(self.book), {"a", "b"})
-        self.book.take(make_endpoint("a"), 20)
-        self.assertEqual(self.book.expire(50.1 + RETURN_SECONDS), ["b"])
-        self.assertEqual(ids_of(self.book), {"a"})
-
-    def test_one_that_was_leaving_is_not_held_for_its_return(self) -> None:
-        """An endpoint says that it leaves, and its registration goes during an outage. It
-        will not come back; kept, it would get work after its notice."""
-        self.book.take(make_endpoint("a", leaving=True), 12)
-        self.book.record_trouble(50.0)
-        self.assertTrue(self.book.take_removal("a", 13, now=50.1))
-
-    def test_a_removal_long_after_an_outage_counts_at_once(self) -> None:
-        self.book.record_trouble(50.0)
-        self.assertTrue(self.book.take_removal("a", 13, now=50.1 + TROUBLE_SECONDS))
-
-    def test_a_second_removal_does_not_prolong_the_wait(self) -> None:
-        self.book.record_trouble(50.0)
-        self.book.take_listed({"b"}, 50.0)
-        self.book.record_trouble(51.0)
-        self.book.take_listed({"b"}, 51.0)
-        self.assertEqual(self.book.expire(50.0 + RETURN_SECONDS), ["a"])
-
-    def test_what_is_older_than_known_changes_nothing(self) -> None:
-        """A stale answer of the store names an endpoint as ready that has since said that it
-        leaves. Taken for new, the endpoint would get work again."""
-        self.book.take(make_endpoint("a", leaving=True), 20)
-        self.assertFalse(self.book.take(make_endpoint("a"), 10))
-        self.assertTrue(self.book.get("a").leaving)
-        self.assertFalse(self.book.take_removal("a", 15, now=99.0))
+        self.registry.record_trouble(50.0)
+        self.assertEqual(self.registry.take_listed(set(), 50.1), [])
+        self.assertEqual(ids_of(self.registry), {"a", "b"})
+        self.registry.take(make_endpoint("a"), 20)
+        self.assertEqual(self.registry.expire(50.1 + GRACE_SECONDS), ["b"])
+        self.assertEqual(ids_of(self.registry), {"a"})
+
+    def test_a_leaving_endpoint_gets_no_grace_period(self) -> None:
+        """An endpoint announces that it is leaving, and its registration lapses during an outage.
+        It will not register again; kept, it would get requests after its announcement."""
+        self.registry.take(make_endpoint("a", leaving=True), 12)
+        self.registry.record_trouble(50.0)
+        self.assertTrue(self.registry.take_removal("a", 13, now=50.1))
+
+    def test_a_removal_long_after_an_outage_is_applied_at_once(self) -> None:
+        self.registry.record_trouble(50.0)
+        self.assertTrue(self.registry.take_removal("a", 13, now=50.1 + STORE_FAILURE_SECONDS))
+
+    def test_a_second_removal_does_not_extend_the_grace_period(self) -> None:
+        self.registry.record_trouble(50.0)
+        self.registry.take_listed({"b"}, 50.0)
+        self.registry.record_trouble(51.0)
+        self.registry.take_listed({"b"}, 51.0)
+        self.assertEqual(self.registry.expire(50.0 + GRACE_SECONDS), ["a"])
+
+    def test_an_older_revision_changes_nothing(self) -> None:
+        """A stale response of the store shows an endpoint as ready that has since announced that
+        it is leaving. Applied, it would give the endpoint requests again."""
+        self.registry.take(make_endpoint("a", leaving=True), 20)
+        self.assertFalse(self.registry.take(make_endpoint("a"), 10))
+        self.assertTrue(self.registry.get("a").leaving)
+        self.assertFalse(self.registry.take_removal("a", 15, now=99.0))
 
     @SETTINGS
     @hypothesis.given(
@@ -81,31 +81,33 @@
         strategies.randoms(use_true_random=False),
     )
     def test_the_order_of_arrival_does_not_matter(self, changes: list, rng) -> None:
-        """The store and several peers tell the same changes in different orders. Entries that
-        ended up with different books would send to endpoints that others know to be gone."""
+        """The store and several peers report the same changes in different orders. An entry that
+        ended with other endpoints would send requests to some that are gone."""
         numbered = list(enumerate(changes, start=1))
         shuffled = list(numbered)
         rng.shuffle(shuffled)
-        books = []
+        results = []
         for order in (numbered, shuffled):
-            book = EndpointBook()
+            registry = EndpointBook()
             for revision, (name, present) in order:
                 if present:
-                    book.take(make_endpoint(name), revision)
+                    registry.take(make_endpoint(name), revision)
                 else:
-                    book.take_removal(name, revision, 100.0)
-            books.append(ids_of(book))
+                    registry.take_removal(name, revision, 100.0)
+            results.append(ids_of(registry))
         last = dict(changes)
-        self.assertEqual(books[0], {name for name, present in last.items() if present})
-        self.assertEqual(books[1], books[0])
+        self.assertEqual(results[0], {name for name, present in last.items() if present})
+        self.assertEqual(results[1], results[0])
 
 
 class RestartTest(unittest.TestCase):
-    """An endpoint that starts again under the name that it had."""
+    """An endpoint that restarts under the same name."""
 
     def test_a_new_run_replaces_what_was_known(self) -> None:
-        book = EndpointBook()
+        registry = EndpointBook()
         first = make_endpoint("a", started_at=1000, weights=2, whole=True)
-        book.take(first, 5)
-        self.assertTrue(book.take(msgspec.structs.replace(first, started_at=2000, weights=0), 6))
-        self.assertEqual(book.get("a").weights, 0)
+        registry.take(first, 5)
+        self.assertTrue(
+            registry.take(msgspec.structs.replace(first, started_at=2000, weights=0), 6)
+        )
+        self.assertEqual(registry.get("a").weights, 0)
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies
 
 from . import backoff
-from .death_record import MOST_TOLD, TOLD_SECONDS, DeathRecord
+from .death_record import MAX_REPORTED, REPORTED_SECONDS, DeathRecord
 from .endpoint_health import EndpointHealth, Health
 from .endpoint_limit import LARGEST_LIMIT, SMALLEST_LIMIT, EndpointLimit
 from .endpoint_state import EndpointState
 from .poison import BLOCK_SECONDS, FORGET_SECONDS, PoisonGuard
 from .prefix_affinity import PrefixRing
-from .retry_budget import EARNED_BY_REQUEST, FIRST_PURSE, RetryBudget
+from .retry_budget import EARNED_PER_REQUEST, INITIAL_BALANCE, RetryBudget
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
 SIGNALS = strategies.lists(
@@ -90,7 +90,7 @@
         health = self.make_slow()
         self.assertIs(health.health, Health.SLOW)
         self.assertFalse(health.may_take(1.0))
-        later = 1.0 + backoff.LONGEST_SECONDS
+        later = 1.0 + backoff.MAX_DELAY_SECONDS
         self.assertTrue(health.may_take(later))
         health.placed()
         self.assertFalse(health.may_take(later))
@@ -99,10 +99,10 @@
         """The only probe's caller leaves. If that probe counts as running for ever, the
         endpoint never comes back, and nobody sees why."""
         health = self.make_slow()
-        later = 1.0 + backoff.LONGEST_SECONDS
+        later = 1.0 + backoff.MAX_DELAY_SECONDS
         health.placed()
         health.probe_ended(later)
-        self.assertTrue(health.may_take(later + backoff.LONGEST_SECONDS))
+        self.assertTrue(health.may_take(later + backoff.MAX_DELAY_SECONDS))
 
 
 class SilenceTest(unittest.TestCase):
@@ -151,7 +151,7 @@
                 requests += 1
             else:
                 retries += budget.spend(0)
-            self.assertLessEqual(retries, EARNED_BY_REQUEST * requests + FIRST_PURSE + 1e-6)
+            self.assertLessEqual(retries, EARNED_PER_REQUEST * requests + INITIAL_BALANCE + 1e-6)
 
     def test_an_entry_that_has_just_started_makes_a_death_good(self) -> None:
         """An entry was restarted a second ago, and an engine dies with four of its texts. With
@@ -205,8 +205,8 @@
         record = DeathRecord()
         for number in range(100):
             record.take_lost(f"{number:016x}", number * 0.1)
-        self.assertEqual(len(record.suspects(10.0)), MOST_TOLD)
-        self.assertEqual(record.suspects(10.0 + TOLD_SECONDS), ())
+        self.assertEqual(len(record.suspects(10.0)), MAX_REPORTED)
+        self.assertEqual(record.suspects(10.0 + REPORTED_SECONDS), ())
 
 
 class AffinityTest(unittest.TestCase):
--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -1,18 +1,18 @@
-"""Which other entries there are, from seeds and from what entries tell each other.
+"""Known entries, from configured seeds and from gossip between entries.
 
-Load pattern: entries are killed and replaced at any time, the seeds in the settings may be
-stale, and no list names entries. An entry that knows nobody is alone with a store that may turn
-it away; one that keeps the dead asks them first and waits. Entries that meet tell each other
-whom they know and when those were last heard, so that news of a new one reaches all within a
-few meetings, and one that nobody hears any more is forgotten by all.
+Load pattern: entries are killed and replaced at any time, the seeds in the settings may be stale,
+and no list names the entries. An entry that knows no other has only the store, which may refuse
+it; one that keeps dead entries asks them first and waits for their time-outs. Entries therefore
+exchange which entries they know and when each was last seen. A new entry is known to all after a
+few exchanges, and one that none has seen for a while is removed by all.
 """
 
 import dataclasses
 import random
 
 MEET_SECONDS = 2.0
-FORGET_SECONDS = 20.0
-LIST_SIZE = 32
+ENTRY_EXPIRES_SECONDS = 20.0
+MAX_EXCHANGED_ENTRIES = 32
 
 Place = tuple[str, int]
 
@@ -22,8 +22,8 @@
     """Another entry.
 
     Attributes:
-      heard_at: When anyone heard of it last.
-      data_centre: Where it stands; empty while nobody has told.
+      heard_at: When it was last seen by any entry.
+      data_centre: Its data centre; empty while unknown.
     """
 
     heard_at: float
@@ -31,25 +31,25 @@
 
 
 class EntryRoster:
-    """Entries by address, with when each was last heard of.
+    """The other entries by address, with the time each was last seen.
 
-    All times are of a clock that counts while the instance is suspended.
+    All times are of a clock that keeps counting while the instance is suspended.
     """
 
-    __slots__ = ("_own", "_seeds", "_known", "_failed")
+    __slots__ = ("_own", "_seeds", "_known", "_failed_at")
 
     def __init__(self, own: Place, seeds: tuple[Place, ...]) -> None:
         self._own = own
         self._seeds = tuple(seed for seed in seeds if seed != own)
         self._known: dict[Place, KnownEntry] = {}
-        self._failed: dict[Place, float] = {}
+        self._failed_at: dict[Place, float] = {}
 
     def take_seeds(self, seeds: tuple[Place, ...]) -> None:
-        """Takes other seeds in place of those before."""
+        """Replaces the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
     def take(self, address: Place, heard_at: float, data_centre: str = "") -> None:
-        """Takes that an entry was heard, by this process or another."""
+        """Records when an entry was seen, by this process or by another entry."""
         if address == self._own:
             return
         before = self._known.get(address, KnownEntry(float("-inf")))
@@ -57,43 +57,47 @@
         self._known[address] = KnownEntry(latest, data_centre or before.data_centre)
 
     def record_failure(self, address: Place, now: float) -> None:
-        """Records that an entry did not answer this process."""
-        self._failed[address] = now
+        """Records that an entry did not respond to this process."""
+        self._failed_at[address] = now
 
     def known(self, now: float) -> dict[Place, KnownEntry]:
-        """Returns the entries heard lately."""
-        late = [a for a, known in self._known.items() if now - known.heard_at > FORGET_SECONDS]
-        for address in late:
+        """Removes the entries that were not seen lately and returns the others."""
+        expired = [
+            a for a, known in self._known.items() if now - known.heard_at > ENTRY_EXPIRES_SECONDS
+        ]
+        for address in expired:
             del self._known[address]
         return self._known
 
     def latest(self, now: float) -> list[tuple[Place, KnownEntry]]:
-        """Returns those worth telling another of, the latest first."""
+        """Returns the entries to send in an exchange, the most recently seen first."""
         ranked = sorted(self.known(now).items(), key=lambda item: (-item[1].heard_at, item[0]))
-        return ranked[:LIST_SIZE]
+        return ranked[:MAX_EXCHANGED_ENTRIES]
 
     def count(self, now: float) -> int:
-        """Returns how many entries there are, this one included."""
+        """Returns the number of known entries, including this one."""
         return 1 + len(self.known(now))
 
     def within(self, data_centre: str, now: float) -> list[Place]:
-        """Returns the entries of a data centre in an order that all of them agree on.
+        """Returns the entries of a data centre, in the same order at each of them.
 
         Args:
-          data_centre: That of this entry, which is among them.
+          data_centre: The data centre of this entry, which is included.
         """
         others = [a for a, known in self.known(now).items() if known.data_centre == data_centre]
         return sorted([self._own, *others])
 
     def choose(self, count: int, now: float, rng: random.Random) -> list[Place]:
-        """Returns whom to ask next: those that answered last time first, seeds if need be."""
-        heard = self.known(now)
-        sound = [a for a in heard if self._failed.get(a, float("-inf")) < heard[a].heard_at]
-        chosen = rng.sample(sound, min(count, len(sound)))
-        rest = [a for a in dict.fromkeys((*heard, *self._seeds)) if a not in chosen]
+        """Returns entries to ask: first those that responded last time, then others and seeds."""
+        recent = self.known(now)
+        responsive = [
+            a for a in recent if self._failed_at.get(a, float("-inf")) < recent[a].heard_at
+        ]
+        chosen = rng.sample(responsive, min(count, len(responsive)))
+        rest = [a for a in dict.fromkeys((*recent, *self._seeds)) if a not in chosen]
         missing = min(count - len(chosen), len(rest))
         return chosen + rng.sample(rest, missing)
 
     def all_addresses(self, now: float) -> list[Place]:
-        """Returns everyone worth telling something, the seeds included."""
+        """Returns the addresses of all known entries and of the seeds."""
         return list(dict.fromkeys((*self.known(now), *self._seeds)))
--- a/wasabidrum/decisions/evidence_lease_test.py
+++ b/wasabidrum/decisions/evidence_lease_test.py
@@ -1,4 +1,4 @@
-"""How long the configuration that is held may be acted on."""
+"""Tests of how long a process may act on the configuration that it holds."""
 
 import unittest
 
@@ -12,41 +12,41 @@
 
 
 class EvidenceLeaseTest(unittest.TestCase):
-    """A lease with a bound of five seconds."""
+    """A lease with a bound of five seconds for revoked keys."""
 
-    def test_a_key_that_was_taken_away_is_refused_everywhere_in_time(self) -> None:
-        """A key is taken away while an entry cannot reach the store. Its holder is served
-        by the configuration from before for as long as the outage lasts. The lease ends before
-        the bound, whatever the entry hears meanwhile that is older."""
+    def test_a_revoked_key_is_refused_before_the_bound(self) -> None:
+        """A key is revoked while an entry cannot reach the store. Without a lease its holder would
+        be served by the old configuration for as long as the outage lasts. The lease ends before
+        the bound, even if the entry receives older responses meanwhile."""
         lease = EvidenceLease(5.0)
         lease.renew(100.0)
-        taken_away_at = 100.001
+        revoked_at = 100.001
         lease.renew(99.0)
         self.assertTrue(lease.holds(100.0 + 5.0 - MARGIN_SECONDS))
-        self.assertFalse(lease.holds(taken_away_at + 5.0))
+        self.assertFalse(lease.holds(revoked_at + 5.0))
 
-    def test_an_answer_counts_from_its_question(self) -> None:
-        """The store answers slowly, and a key is taken away while its answer is on the way.
-        Counted from the answer, the lease would cover a moment that the answer knows nothing
-        of, and the key would pass for that long too long."""
+    def test_the_lease_is_renewed_from_the_time_of_the_request(self) -> None:
+        """The store responds slowly, and a key is revoked while the response is in transit. A
+        lease renewed from the response would cover a time that the response says nothing about,
+        and the key would be accepted for that much too long."""
         lease = EvidenceLease(5.0)
         asked_at, answered_at = 100.0, 103.0
         lease.renew(asked_at)
         self.assertFalse(lease.holds(answered_at + 2.0))
 
-    def test_a_watch_that_ended_without_changes_dates_what_the_next_one_brings(self) -> None:
-        """Dated by when the watch before was asked, a version would bind a wait too early."""
-        self.assertEqual(quiet_until(100.0, 101.21, 1.2, held_up=False), 101.2)
+    def test_a_watch_without_changes_dates_those_of_the_next_watch(self) -> None:
+        """Dated by the request of the previous watch, a version would apply one wait too early."""
+        self.assertEqual(quiet_until(100.0, 101.21, 1.2, paused=False), 101.2)
 
-    def test_a_watch_that_ended_early_or_was_read_late_dates_by_its_question(self) -> None:
-        self.assertEqual(quiet_until(100.0, 100.7, 1.2, held_up=False), 100.0)
-        self.assertEqual(quiet_until(100.0, 109.0, 1.2, held_up=True), 100.0)
+    def test_a_watch_that_ended_early_or_was_read_late_dates_by_its_request(self) -> None:
+        self.assertEqual(quiet_until(100.0, 100.7, 1.2, paused=False), 100.0)
+        self.assertEqual(quiet_until(100.0, 109.0, 1.2, paused=True), 100.0)
 
-    def test_nothing_holds_before_the_first_answer(self) -> None:
+    def test_the_lease_is_invalid_before_the_first_response(self) -> None:
         self.assertFalse(EvidenceLease(5.0).holds(0.0))
         self.assertFalse(EvidenceLease(5.0).is_ready(0.0))
 
-    def test_new_callers_stay_away_before_old_ones_are_refused(self) -> None:
+    def test_readiness_ends_before_keys_are_refused(self) -> None:
         lease = EvidenceLease(5.0)
         lease.renew(100.0)
         self.assertTrue(lease.is_ready(102.0))
@@ -55,22 +55,22 @@
 
 
 class PromptAfterTest(unittest.TestCase):
-    """When a change was made that a question brought which was to wait for 1.2 s."""
+    """The earliest time of a change from a request that the store was to hold for 1.2 s."""
 
-    def test_one_that_waited_tells_the_moment(self) -> None:
+    def test_a_response_during_the_wait_dates_its_changes(self) -> None:
         self.assertEqual(prompt_after(100.0, 100.7, 1.2, False), 100.7 - PROMPT_SECONDS)
 
-    def test_one_that_was_answered_at_once_tells_of_what_was_before(self) -> None:
-        """A change is made while nobody asks. The next question is answered at once, and the
-        change may be as old as the pause before it."""
+    def test_an_immediate_response_dates_nothing(self) -> None:
+        """A change is made between two requests. The next request is answered at once, and the
+        change may be as old as the time between them."""
         self.assertEqual(prompt_after(100.0, 100.01, 1.2, False), float("-inf"))
 
-    def test_one_that_was_held_up_tells_nothing(self) -> None:
-        """A process stands still while a change waits for it. Dated by when it was read, the
-        change would seem younger than it is by all that time."""
+    def test_a_response_later_than_the_wait_dates_nothing(self) -> None:
+        """The process is paused while a response waits in its socket. Dated by when it was read,
+        the change would appear newer than it is by the length of the pause."""
         self.assertEqual(prompt_after(100.0, 104.5, 1.2, False), float("-inf"))
 
-    def test_one_that_was_held_up_within_its_wait_tells_nothing_either(self) -> None:
-        """A process stands still for less than the question was to wait. The change was made
-        before or during that; only whoever knows that it stood still can tell."""
+    def test_a_response_read_after_a_short_pause_dates_nothing(self) -> None:
+        """The process is paused for less than the wait. The change was made before or during the
+        pause; the duration alone does not show that, only the detected pause does."""
         self.assertEqual(prompt_after(100.0, 101.05, 1.2, True), float("-inf"))
--- a/wasabidrum/decisions/import_circles_test.py
+++ b/wasabidrum/decisions/import_cycles_test.py
@@ -1,8 +1,8 @@
-"""Holds the package free of circles of imports, so that each module can be read after those
-that it imports.
+"""Checks that the package has no import cycles, so that each module can be read after those that
+it imports.
 
-Imports for the type checker alone count too: they run nothing, but whoever reads one module of
-a circle has to read all of them.
+Imports for type checking only count too: they do not run, but a reader of one module of a cycle
+has to read all of them.
 """
 
 import ast
@@ -10,9 +10,9 @@
 import unittest
 
 PACKAGE = pathlib.Path(__file__).parent.parent
-# One request's four modules know each other's types: the daemon makes the exchange, which asks
-# forwarding, which makes attempts, and each of them reaches back to those that it serves. Each
-# import on the circle is listed by its modules, and the list may only become shorter.
+# The four modules that handle a request use each other's types: the daemon creates the exchange,
+# which calls forwarding, which creates attempts, and each of them refers back to its callers. Each
+# import on that cycle is listed as importer and imported module. The list must not grow.
 KNOWN_IMPORTS = frozenset(
     (
         ("wasabidrum.gateway.attempt", "wasabidrum.gateway.daemon"),
@@ -28,13 +28,13 @@
 
 
 def name_of(path: pathlib.Path) -> str:
-    """Returns the dotted name of a module, for an __init__.py that of its package."""
+    """Returns the dotted name of a module; for an __init__.py, the name of its package."""
     parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def base_of(package: str, node: ast.ImportFrom) -> str:
-    """Returns the dotted name that follows "from", with the dots of a relative one resolved."""
+    """Returns the absolute dotted name that follows "from" in an import."""
     if not node.level:
         return node.module or ""
     parents = package.split(".")
@@ -43,11 +43,11 @@
 
 
 def imports_of(package: str, source: str, modules: frozenset[str]) -> set[str]:
-    """Returns which modules a source imports, wherever in it the import stands.
+    """Returns the modules that a source imports anywhere, including within functions.
 
     Args:
-      package: The package that the source's relative imports start from.
-      modules: The dotted names of all modules that count.
+      package: The package to which the source's relative imports refer.
+      modules: The dotted names of all modules to consider.
     """
     imported = set()
     for node in ast.walk(ast.parse(source)):
@@ -56,14 +56,14 @@
         elif isinstance(node, ast.ImportFrom):
             base = base_of(package, node)
             for alias in node.names:
-                # The name may be a module of a package, or something that a module holds.
+                # The name may be a module of a package, or a definition in a module.
                 name = f"{base}.{alias.name}"
                 imported.add(name if name in modules else base)
     return imported & modules
 
 
 def read_imports() -> dict[str, set[str]]:
-    """Returns what each module of the package imports of it."""
+    """Returns, for each module of the package, the modules of the package that it imports."""
     paths = {name_of(path): path for path in PACKAGE.rglob("*.py")}
     modules = frozenset(paths)
     imports = {}
@@ -74,19 +74,19 @@
 
 
 def reached_from(start: str, imports: dict[str, set[str]]) -> set[str]:
-    """Returns every module that reading one leads to, itself only where it is on a circle."""
+    """Returns every module that one imports transitively; itself only if it is on a cycle."""
     reached: set[str] = set()
-    waiting = list(imports[start])
-    while waiting:
-        name = waiting.pop()
+    pending = list(imports[start])
+    while pending:
+        name = pending.pop()
         if name not in reached:
             reached.add(name)
-            waiting.extend(imports[name])
+            pending.extend(imports[name])
     return reached
 
 
-def imports_on_circles(imports: dict[str, set[str]]) -> set[tuple[str, str]]:
-    """Returns each import, as importer and imported, whose imported module leads back."""
+def imports_on_cycles(imports: dict[str, set[str]]) -> set[tuple[str, str]]:
+    """Returns each import on a cycle, as importer and imported module."""
     reached = {name: reached_from(name, imports) for name in imports}
     return {
         (importer, imported)
@@ -96,32 +96,31 @@
     }
 
 
-class ImportCirclesTest(unittest.TestCase):
-    """No module leads back to itself, whatever its imports are for."""
+class ImportCyclesTest(unittest.TestCase):
+    """No module imports itself transitively, not even for type checking."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.found = imports_on_circles(read_imports())
+        cls.found = imports_on_cycles(read_imports())
 
-    def test_no_import_is_on_a_circle_but_those_listed(self) -> None:
-        """Two modules that import each other, through others or for their types alone, can be
-        read, tested and moved only together. A Protocol that names what one needs of the other
-        unties them."""
+    def test_only_listed_imports_are_on_a_cycle(self) -> None:
+        """Two modules that import each other, directly or not, can only be read, tested and moved
+        together. A Protocol that declares what one needs of the other removes the cycle."""
         self.assertEqual(sorted(self.found - KNOWN_IMPORTS), [])
 
-    def test_a_listed_import_that_is_untied_leaves_the_list(self) -> None:
-        """Kept on the list, it could come back unnoticed."""
+    def test_every_listed_import_is_still_on_a_cycle(self) -> None:
+        """An import that stays on the list after its removal could be added again unnoticed."""
         self.assertEqual(sorted(KNOWN_IMPORTS - self.found), [])
 
 
 class ImportReadingTest(unittest.TestCase):
-    """What counts as an import, and as a circle."""
+    """Which statements count as imports, and which imports form a cycle."""
 
     def read(self, source: str) -> set[str]:
-        """Returns what a source in the package p.a imports of four modules."""
+        """Returns which of four modules a source in the package p.a imports."""
         return imports_of("p.a", source, frozenset(("p", "p.a", "p.a.x", "p.b.y")))
 
-    def test_every_form_is_read(self) -> None:
+    def test_every_form_of_import_is_found(self) -> None:
         self.assertEqual(self.read("from .x import Thing"), {"p.a.x"})
         self.assertEqual(self.read("from . import x"), {"p.a.x"})
         self.assertEqual(self.read("from ..b.y import Thing"), {"p.b.y"})
@@ -133,14 +132,14 @@
 
     def test_imports_for_types_and_within_functions_count(self) -> None:
         types = "import typing\nif typing.TYPE_CHECKING:\n    from .x import Thing"
-        late = "def f():\n    from ..b.y import Thing"
+        local = "def f():\n    from ..b.y import Thing"
         self.assertEqual(self.read(types), {"p.a.x"})
-        self.assertEqual(self.read(late), {"p.b.y"})
+        self.assertEqual(self.read(local), {"p.b.y"})
 
-    def test_a_circle_is_found_whatever_its_length(self) -> None:
+    def test_cycles_of_any_length_are_found(self) -> None:
         imports = {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set(), "e": {"a"}, "f": {"f"}}
         expected = {("a", "b"), ("b", "c"), ("c", "a"), ("f", "f")}
-        self.assertEqual(imports_on_circles(imports), expected)
+        self.assertEqual(imports_on_cycles(imports), expected)
 
 
 if __name__ == "__main__":
--- a/wasabidrum/decisions/keyed_key.py
+++ b/wasabidrum/decisions/keyed_key.py
@@ -1,8 +1,9 @@
-"""Keys that name the one sidecar incarnation which may run a call, and until when.
+"""Idempotency keys that name the one sidecar incarnation that may run a call, and until when.
 
-Nothing of the fleet outlives its process, so nobody can look up who may run a call. The key
-itself says so. Its times count from the start of the incarnation that it names: no wall
-clock takes part, so neither a stepped clock nor two clocks that differ can prolong a key.
+No state of the fleet outlives its process, so no process can look up which sidecar may run a call.
+The key itself contains that. Its times count from the start of the incarnation that it names. No
+wall clock is involved, so neither a stepped clock nor a difference between two clocks can extend
+the lifetime of a key.
 """
 
 import re
@@ -11,21 +12,21 @@
 import msgspec
 
 LONGEST_LIFETIME_SECONDS = 900.0
-LONGEST_KEY = 255
+MAX_KEY_LENGTH = 255
 KEY_PATTERN = re.compile(
     r"wk1\.([0-9a-z-]{1,64})\.(0|[1-9][0-9]{0,14})\.([1-9][0-9]{0,8})\.([0-9a-f]{24})\.([!-~]{1,99})"
 )
 
 
 class KeyedKey(msgspec.Struct, frozen=True):
-    """One key.
+    """An idempotency key.
 
     Attributes:
       endpoint: The slot of the sidecar, by which entries find its address.
       incarnation: The only incarnation of that sidecar that may run a call with this key.
       issued_ms: When it was issued, in milliseconds since that incarnation started.
-      lifetime_ms: How long after that a call may still start.
-      nonce: What tells keys apart that were issued in the same millisecond.
+      lifetime_ms: Milliseconds after the issue within which a call may start.
+      nonce: Distinguishes keys that were issued in the same millisecond.
     """
 
     endpoint: str
@@ -53,8 +54,8 @@
     """Returns a new key.
 
     Args:
-      uptime: How long the incarnation has run by now, in seconds.
-      lifetime: In seconds; shortened to the longest allowed.
+      uptime: The present uptime of the incarnation, in seconds.
+      lifetime: Lifetime of the key, in seconds; limited to the longest one allowed.
     """
     lifetime = min(max(lifetime, 0.001), LONGEST_LIFETIME_SECONDS)
     times = (max(0, int(uptime * 1000)), max(1, int(lifetime * 1000)))
@@ -62,11 +63,11 @@
 
 
 def parse_key(text: str) -> KeyedKey | None:
-    """Returns the key that a text spells, or None where the system never issued such a text.
+    """Returns the key that a text encodes, or None if it is not a valid encoding.
 
-    A key has one spelling, so that two spellings cannot pass for two keys of one call.
+    Each key has exactly one encoding, so that one key cannot appear as two different ones.
     """
-    match = KEY_PATTERN.fullmatch(text) if len(text) <= LONGEST_KEY else None
+    match = KEY_PATTERN.fullmatch(text) if len(text) <= MAX_KEY_LENGTH else None
     if match is None or int(match[3]) > LONGEST_LIFETIME_SECONDS * 1000:
         return None
     return KeyedKey(match[5], match[1], int(match[2]), int(match[3]), match[4])
--- a/wasabidrum/decisions/keyed_ledger.py
+++ b/wasabidrum/decisions/keyed_ledger.py
@@ -1,10 +1,8 @@
-"""Decides whether a call with a key may start, so that it runs at most once.
+"""Decides whether a call with an idempotency key may start, so that it runs at most once.
 
-Load pattern: charges that callers, entries and the network send again, seconds or minutes
-after the first copy, while instances die and wake.
-
-Without it a resend after a lost answer charges a family twice, or a caller that is told
-"not run" sees the charge run later.
+Load pattern: callers, entries and the network send charges again, seconds or minutes after the
+first copy, while instances die and resume from pauses. Without this a retry after a lost response
+charges a customer twice, or a charge runs after its caller was told "not run".
 """
 
 import hashlib
@@ -12,118 +10,121 @@
 import math
 
 from .keyed_key import KeyedKey
-from .keyed_record import KeptAnswer, KeyedRecord, KeyState
+from .keyed_record import IdempotencyRecord, KeptAnswer, KeyState
 from .keyed_verdict import KeyedVerdict, Verdict
 
-MOST_RECORDS = 50_000
-MOST_ANSWER_BYTES = 8 * 1_048_576
-ISSUED_AHEAD_SECONDS = 1.0
+MAX_RECORDS = 50_000
+MAX_ANSWER_BYTES = 8 * 1_048_576
+MAX_ISSUED_AHEAD_SECONDS = 1.0
 
-IDENTITY_BYTES = 16
+RECORD_ID_BYTES = 16
 
 
 def identify(workspace: str, key: KeyedKey) -> bytes:
-    """Returns the short name of a workspace's key; another workspace's has another."""
+    """Returns the digest that identifies a key of a workspace."""
     text = f"{workspace}\0{key}".encode()
-    return hashlib.blake2b(text, digest_size=IDENTITY_BYTES).digest()
+    return hashlib.blake2b(text, digest_size=RECORD_ID_BYTES).digest()
 
 
 class KeyedLedger:
-    """The records of one incarnation. Times are seconds since that incarnation started."""
+    """The idempotency records of one sidecar incarnation.
+
+    All times are in seconds since the incarnation started.
+    """
 
-    __slots__ = ("_incarnation", "_most_records", "_most_answer_bytes", "_records", "_expiries")
-    __slots__ += ("_answers", "_answer_bytes", "_floor", "_now")
+    __slots__ = ("_incarnation", "_max_records", "_max_answer_bytes", "_records", "_expiries")
+    __slots__ += ("_answers", "_answer_bytes", "_refused_issued_until", "_now")
 
-    def __init__(self, incarnation: str, most_records: int, most_answer_bytes: int) -> None:
+    def __init__(self, incarnation: str, max_records: int, max_answer_bytes: int) -> None:
         self._incarnation = incarnation
-        self._most_records = most_records
-        self._most_answer_bytes = most_answer_bytes
-        self._records: dict[bytes, KeyedRecord] = {}
+        self._max_records = max_records
+        self._max_answer_bytes = max_answer_bytes
+        self._records: dict[bytes, IdempotencyRecord] = {}
         self._expiries: list[tuple[float, bytes]] = []
         self._answers: dict[bytes, int] = {}
         self._answer_bytes = 0
-        self._floor = -1.0
+        self._refused_issued_until = -1.0
         self._now = 0.0
 
     @property
     def size(self) -> int:
-        """How many keys are remembered."""
+        """The number of keys with a record."""
         return len(self._records)
 
     @property
     def answer_bytes(self) -> int:
-        """How many bytes of answers are kept."""
+        """The total size of the stored answers, in bytes."""
         return self._answer_bytes
 
     def begin(
         self, workspace: str, key: KeyedKey, fingerprint: bytes, now: float, start_before: float
     ) -> KeyedVerdict:
-        """Judges a call that arrived; after RUN the caller must call exactly one end method.
+        """Decides on a call that arrived; after RUN exactly one end method must be called.
 
         Args:
-          fingerprint: The digest of all that makes up the request.
-          start_before: When the caller stops waiting; a call must not start after that.
+          fingerprint: The digest of the complete request.
+          start_before: When the caller stops waiting; the call must not start at or after it.
         """
         now = self._advance(now)
-        # Another incarnation's memory died with it, or lives in a process that the list no
-        # longer names. Running its call here could be the second run.
+        # The records of another incarnation are lost, or are held by a process that the list no
+        # longer names. That incarnation may have run the call already.
         if key.incarnation != self._incarnation:
             return KeyedVerdict(Verdict.UNKNOWN, "key_of_another_incarnation")
         identity = identify(workspace, key)
         record = self._records.get(identity)
         if record is not None:
-            return self._judge_known(record, fingerprint)
-        # Records are forgotten at their keys' expiry by this same clock, so an unexpired key
-        # without a record has never been here.
+            return self._decide_known(record, fingerprint)
+        # Records are removed when their keys expire by this same clock, so an unexpired key
+        # without a record was never received here.
         if key.expires <= now:
             return KeyedVerdict(Verdict.UNKNOWN, "key_expired")
-        if key.issued > now + ISSUED_AHEAD_SECONDS:
+        if key.issued > now + MAX_ISSUED_AHEAD_SECONDS:
             return KeyedVerdict(Verdict.UNKNOWN, "key_issued_ahead")
-        if key.issued <= self._floor:
-            code = "endpoint_leaving" if math.isinf(self._floor) else "keys_full"
+        if key.issued <= self._refused_issued_until:
+            code = "endpoint_leaving" if math.isinf(self._refused_issued_until) else "keys_full"
             return KeyedVerdict(Verdict.NOT_RUN, code)
-        if len(self._records) >= self._most_records:
-            # There is no room to remember a run or a tombstone. The floor stands for a
-            # tombstone of every key issued by now, so that "not run" stays true of a copy
-            # of this call that comes when there is room again.
-            self._floor = max(now, key.issued)
+        if len(self._records) >= self._max_records:
+            # There is no room for a record or a tombstone. The time stands for a tombstone of
+            # every key issued until now, so that "not run" also holds for a copy of this call
+            # that arrives when there is room again.
+            self._refused_issued_until = max(now, key.issued)
             return KeyedVerdict(Verdict.NOT_RUN, "keys_full")
-        record = KeyedRecord(fingerprint, key.expires, KeyState.RUNNING)
+        record = IdempotencyRecord(fingerprint, key.expires, KeyState.RUNNING)
         self._records[identity] = record
         heapq.heappush(self._expiries, (key.expires, identity))
-        # A process that was paused, or whose queue was long, comes here after the caller
-        # gave up. The caller may have turned to another till by now.
+        # A process that was paused, or had a long queue, may get here after the caller's
+        # deadline. The caller may have made the charge in another way by now.
         if now >= start_before:
             record.state, record.code = KeyState.TOMBSTONE, "deadline_passed"
             return KeyedVerdict(Verdict.NOT_RUN, record.code)
         return KeyedVerdict(Verdict.RUN)
 
     def end_done(self, workspace: str, key: KeyedKey, answer: KeptAnswer, now: float) -> None:
-        """Keeps the whole answer of a call that ran, evicting the oldest answers for it."""
+        """Stores the complete answer of a call that ran, evicting the oldest ones if needed."""
         identity = identify(workspace, key)
         record = self._records[identity]
         record.state, record.answer = KeyState.DONE, answer
         self._answers[identity] = size = len(answer.body or b"")
         self._answer_bytes += size
-        if size > self._most_answer_bytes:
+        if size > self._max_answer_bytes:
             self._evict_answer(identity)
-        while self._answer_bytes > self._most_answer_bytes:
+        while self._answer_bytes > self._max_answer_bytes:
             self._evict_answer(next(iter(self._answers)))
         self._advance(now)
 
     def end_unknown(self, workspace: str, key: KeyedKey, code: str, now: float) -> None:
-        """Notes that a call started and that nobody can tell what became of it."""
+        """Records that a call started and that its outcome is unknown."""
         self._end(workspace, key, KeyState.UNKNOWN, code, now)
 
     def end_not_run(self, workspace: str, key: KeyedKey, code: str, now: float) -> None:
-        """Notes that the endpoint provably never got the call; a late copy is refused."""
+        """Records that the endpoint provably never received the call; later copies are refused."""
         self._end(workspace, key, KeyState.TOMBSTONE, code, now)
 
     def leave(self) -> None:
-        """Refuses from now on every key that is not remembered, whenever it was issued."""
-        self._floor = math.inf
+        """Refuses from now on every key without a record, whenever it was issued."""
+        self._refused_issued_until = math.inf
 
-    def _judge_known(self, record: KeyedRecord, fingerprint: bytes) -> KeyedVerdict:
+    def _decide_known(self, record: IdempotencyRecord, fingerprint: bytes) -> KeyedVerdict:
         if record.fingerprint != fingerprint:
             return KeyedVerdict(Verdict.CONFLICT, "key_reused")
         if record.state is KeyState.RUNNING:
@@ -140,18 +141,18 @@
         self._advance(now)
 
     def _advance(self, now: float) -> float:
-        # A clock that steps back would make a forgotten key young again, and its next copy
-        # would run a second time. Time here never goes back.
+        # If time went back, a key whose record was removed on expiry would be valid again, and its
+        # next copy would run a second time.
         self._now = max(self._now, now)
-        waiting = []
+        running = []
         while self._expiries and self._expiries[0][0] <= self._now:
             expires, identity = heapq.heappop(self._expiries)
             if self._records[identity].state is KeyState.RUNNING:
-                waiting.append((expires, identity))
+                running.append((expires, identity))
                 continue
             self._evict_answer(identity)
             del self._records[identity]
-        for item in waiting:
+        for item in running:
             heapq.heappush(self._expiries, item)
         return self._now
 
@@ -166,8 +167,8 @@
 
 def make_ledger(
     incarnation: str,
-    most_records: int = MOST_RECORDS,
-    most_answer_bytes: int = MOST_ANSWER_BYTES,
+    max_records: int = MAX_RECORDS,
+    max_answer_bytes: int = MAX_ANSWER_BYTES,
 ) -> KeyedLedger:
-    """Returns an empty ledger for an incarnation that starts now."""
-    return KeyedLedger(incarnation, most_records, most_answer_bytes)
+    """Returns an empty ledger for a new incarnation."""
+    return KeyedLedger(incarnation, max_records, max_answer_bytes)
--- a/wasabidrum/decisions/keyed_ledger_test.py
+++ b/wasabidrum/decisions/keyed_ledger_test.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger: one run a key, and no false "not run", whatever the order of things."""
+"""Tests of the idempotency ledger: each key runs once, and "not run" is never reported wrongly."""
 
 import collections
 import unittest
@@ -6,23 +6,23 @@
 import hypothesis
 from hypothesis import stateful, strategies
 
-from .keyed_key import LONGEST_KEY, KeyedKey, make_key, parse_key
+from .keyed_key import MAX_KEY_LENGTH, KeyedKey, make_key, parse_key
 from .keyed_ledger import KeyedLedger, make_ledger
 from .keyed_record import KeptAnswer
 from .keyed_verdict import Verdict
 
 WORKSPACES = ("stationers", "printers")
 BODIES = (b"a", b"b")
-MOST_RECORDS = 2
-MOST_ANSWER_BYTES = 25
+MAX_RECORDS = 2
+MAX_ANSWER_BYTES = 25
 
 
 class World(stateful.RuleBasedStateMachine):
-    """Keys, copies in flight, two slots whose incarnations are replaced, and callers.
+    """Keys, copies of calls in transit, callers, and two slots whose incarnations are replaced.
 
-    The machine plays the network and the callers: a copy may be delivered at any later
-    time, any number of times, to any incarnation that still lives, also to one that was
-    replaced but never stopped.
+    The machine simulates the network and the callers: a copy may be delivered at any later time,
+    any number of times, to any incarnation that is still alive, including one that was replaced
+    but never stopped.
     """
 
     keys = stateful.Bundle("keys")
@@ -35,19 +35,19 @@
         self.time = 0.0
         self.runs: collections.Counter = collections.Counter()
         self.running: list[tuple[str, str, KeyedKey, bytes]] = []
-        self.told_not_run: set = set()
+        self.reported_not_run: set = set()
         self.answers: dict = {}
         for slot in ("tally-1", "tally-2"):
             self.start(slot)
 
     def start(self, slot: str) -> None:
-        """Starts an incarnation that remembers nothing; older ones may live on."""
+        """Starts an incarnation without records; older ones may stay alive."""
         incarnation = f"{slot}-{len(self.ledgers)}"
-        self.ledgers[incarnation] = make_ledger(incarnation, MOST_RECORDS, MOST_ANSWER_BYTES)
+        self.ledgers[incarnation] = make_ledger(incarnation, MAX_RECORDS, MAX_ANSWER_BYTES)
         self.started_at[incarnation] = self.time
 
     def uptime(self, incarnation: str) -> float:
-        """Returns the incarnation's time."""
+        """Returns the uptime of an incarnation."""
         return self.time - self.started_at[incarnation]
 
     @stateful.rule(
@@ -57,7 +57,7 @@
         lag=strategies.sampled_from((0, 0, 2, -2)),
     )
     def issue(self, pick: int, lifetime: int, lag: int) -> KeyedKey:
-        """Issues a key by an entry whose notion of the sidecar's time lags or leads."""
+        """Issues a key at an entry whose estimate of the sidecar's uptime is off by the lag."""
         newest = list(self.ledgers)[-4:]
         incarnation = newest[pick % len(newest)]
         return make_key("tally", incarnation, self.uptime(incarnation) - lag, lifetime)
@@ -67,34 +67,34 @@
         key=keys,
         workspace=strategies.sampled_from((*WORKSPACES[:1] * 4, *WORKSPACES)),
         body=strategies.sampled_from((*BODIES[:1] * 4, *BODIES)),
-        patience=strategies.sampled_from((0, 3, 50)),
+        timeout=strategies.sampled_from((0, 3, 50)),
     )
-    def send(self, key: KeyedKey, workspace: str, body: bytes, patience: int) -> tuple:
-        """Sends or resends; the first delivery may be the last, and the answer may be lost."""
-        copy = (workspace, key, body, self.time + patience)
+    def send(self, key: KeyedKey, workspace: str, body: bytes, timeout: int) -> tuple:
+        """Sends a call; the first delivery may be the last, and the response may be lost."""
+        copy = (workspace, key, body, self.time + timeout)
         self.deliver_to(copy, key.incarnation)
         return copy
 
-    @stateful.rule(target=copies, copy=copies, patience=strategies.sampled_from((0, 3, 50)))
-    def resend(self, copy: tuple, patience: int) -> tuple:
-        """Sends the same call again, with a deadline of its own."""
+    @stateful.rule(target=copies, copy=copies, timeout=strategies.sampled_from((0, 3, 50)))
+    def resend(self, copy: tuple, timeout: int) -> tuple:
+        """Sends the same call again, with a new deadline."""
         workspace, key, body, _ = copy
-        again = (workspace, key, body, self.time + patience)
+        again = (workspace, key, body, self.time + timeout)
         self.deliver_to(again, key.incarnation)
         return again
 
     @stateful.rule(copy=copies)
     def repeat(self, copy: tuple) -> None:
-        """Delivers a copy once more, however late."""
+        """Delivers a copy once more, at any later time."""
         self.deliver_to(copy, copy[1].incarnation)
 
     @stateful.rule(copy=copies, pick=strategies.integers(0, 99))
     def misdeliver(self, copy: tuple, pick: int) -> None:
-        """Delivers a copy to any incarnation, as a stale list would."""
+        """Delivers a copy to any incarnation, as with a stale instance list."""
         self.deliver_to(copy, sorted(self.ledgers)[pick % len(self.ledgers)])
 
     def deliver_to(self, copy: tuple, incarnation: str) -> None:
-        """Has an incarnation judge a copy, and judges the verdict."""
+        """Delivers a copy to an incarnation and checks its verdict."""
         workspace, key, body, deadline = copy
         start_before = deadline - self.started_at[incarnation]
         ledger = self.ledgers[incarnation]
@@ -104,17 +104,17 @@
             assert self.time < deadline
             self.runs[workspace, key] += 1
             self.running.append((incarnation, *call))
-            assert call not in self.told_not_run, "ran after not_run was told"
+            assert call not in self.reported_not_run, "ran after not_run was reported"
         elif verdict.verdict is Verdict.NOT_RUN:
-            self.told_not_run.add(call)
-            assert not self.runs[workspace, key], "not_run was told of a call that ran"
+            self.reported_not_run.add(call)
+            assert not self.runs[workspace, key], "not_run was reported for a call that ran"
         elif verdict.verdict is Verdict.REPLAY:
             if verdict.answer.body is not None:
-                assert verdict.answer.body == self.answers[call], "another's answer"
+                assert verdict.answer.body == self.answers[call], "answer of another call"
         elif verdict.verdict is Verdict.JOIN:
             assert (incarnation, *call) in self.running
-        assert ledger.size <= MOST_RECORDS
-        assert ledger.answer_bytes <= MOST_ANSWER_BYTES
+        assert ledger.size <= MAX_RECORDS
+        assert ledger.answer_bytes <= MAX_ANSWER_BYTES
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(
@@ -122,7 +122,7 @@
         end=strategies.sampled_from(("done", "done", "lost", "refused")),
     )
     def finish(self, pick: int, end: str) -> None:
-        """Ends a run: answered, lost with the service, or refused before any byte."""
+        """Ends a run: answered, lost when the service died, or refused before any byte was sent."""
         incarnation, workspace, key, body = self.running.pop(pick % len(self.running))
         ledger = self.ledgers[incarnation]
         now = self.uptime(incarnation)
@@ -134,12 +134,12 @@
             ledger.end_unknown(workspace, key, "service_lost", now)
         else:
             self.runs[workspace, key] -= 1
-            self.told_not_run.add((workspace, key, body))
+            self.reported_not_run.add((workspace, key, body))
             ledger.end_not_run(workspace, key, "service_down", now)
 
     @stateful.rule(seconds=strategies.sampled_from((0.5, 1, 2, 5, 30)))
     def wait(self, seconds: float) -> None:
-        """Lets time pass; keys expire and records are forgotten."""
+        """Advances the time; keys expire and their records are removed."""
         self.time += seconds
 
     @stateful.rule(
@@ -148,7 +148,7 @@
         pick=strategies.integers(0, 99),
     )
     def upset(self, what: str, slot: str, pick: int) -> None:
-        """Replaces an instance whose old process lives on, or ends one, or has one leave."""
+        """Replaces an instance whose old process stays alive, crashes one, or starts its exit."""
         incarnation = sorted(self.ledgers)[pick % len(self.ledgers)]
         if what == "leave":
             self.ledgers[incarnation].leave()
@@ -160,7 +160,7 @@
 
     @stateful.invariant()
     def at_most_once(self) -> None:
-        """No key ran twice, in whatever incarnations."""
+        """No key ran twice in any incarnations."""
         assert all(count <= 1 for count in self.runs.values())
 
 
@@ -171,12 +171,12 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """What the state machine may miss by chance."""
+    """Cases that the state machine may not reach."""
 
-    def test_a_clock_that_steps_back_makes_no_forgotten_key_young_again(self) -> None:
-        """The clock steps back after a key was forgotten, and an old copy arrives.
+    def test_a_clock_that_steps_back_makes_no_expired_key_valid(self) -> None:
+        """The clock steps back after the record of a key was removed, and an old copy arrives.
 
-        A family would see its charge twice.
+        If the key were valid again, the customer would be charged twice.
         """
         ledger = make_ledger("i")
         key = make_key("tally", "i", 0.0, 10.0)
@@ -186,10 +186,10 @@
         self.assertEqual(ledger.size, 0)
         self.assertIs(ledger.begin("w", key, b"f", 1.0, 20.0).verdict, Verdict.UNKNOWN)
 
-    def test_full_ledger_refuses_a_key_for_good(self) -> None:
-        """Bursts fill the ledger; a refused call's late copy arrives when there is room again.
+    def test_a_key_refused_by_a_full_ledger_stays_refused(self) -> None:
+        """A burst fills the ledger; a late copy of a refused call arrives when it has room again.
 
-        A caller that was told "not run" and charged anew would see two charges.
+        If it ran, a caller that was told "not run" and sent a new charge would see two.
         """
         ledger = make_ledger("i", 1, 0)
         first = make_key("tally", "i", 0.0, 5.0)
@@ -202,7 +202,7 @@
         third = make_key("tally", "i", 10.0, 100.0)
         self.assertIs(ledger.begin("w", third, b"f", 10.0, 50.0).verdict, Verdict.RUN)
 
-    def test_answers_are_evicted_before_outcomes(self) -> None:
+    def test_answers_are_evicted_before_records(self) -> None:
         ledger = make_ledger("i", 10, 10)
         keys = [make_key("tally", "i", 0.0, 100.0) for _ in range(3)]
         for key in keys:
@@ -221,7 +221,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys are read back as they were written, and nothing else is read as a key."""
+    """Keys are parsed as they were encoded, and no other text is parsed as a key."""
 
     @hypothesis.settings(derandomize=True)
     @hypothesis.given(
@@ -237,11 +237,11 @@
     @hypothesis.settings(derandomize=True, max_examples=500)
     @hypothesis.given(
         strategies.one_of(
-            strategies.text(max_size=LONGEST_KEY + 10),
+            strategies.text(max_size=MAX_KEY_LENGTH + 10),
             strategies.from_regex(r"wk1\.[0-9a-z-]+\.\d+\.\d+\.[0-9a-f]+\..+"),
         )
     )
-    def test_reads_any_text_and_accepts_only_its_own_spelling(self, text: str) -> None:
+    def test_accepts_only_texts_that_encode_the_parsed_key(self, text: str) -> None:
         key = parse_key(text)
         if key is not None:
             self.assertEqual(str(key), text)
--- a/wasabidrum/decisions/keyed_record.py
+++ b/wasabidrum/decisions/keyed_record.py
@@ -1,11 +1,11 @@
-"""What a sidecar remembers of one key."""
+"""What a sidecar stores for each idempotency key."""
 
 import dataclasses
 import enum
 
 
 class KeyState(enum.Enum):
-    """What became of the call with a key. A key that was never seen has no record."""
+    """The state of the call with a key. A key that was never received has no record."""
 
     RUNNING = "running"
     DONE = "done"
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """A whole answer of the service; the body is None once it was evicted."""
+    """A complete answer of the service; the body is None after eviction."""
 
     status: int
     content_type: str
@@ -23,13 +23,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class KeyedRecord:
-    """One key's record.
+class IdempotencyRecord:
+    """The record of one key.
 
     Attributes:
-      fingerprint: The digest of the request that first came with the key.
-      expires: When it may be forgotten, in seconds since the incarnation started.
-      code: Why the call was not run or is unknown; empty else.
+      fingerprint: The digest of the first request with the key.
+      expires: When the record may be removed, in seconds since the incarnation started.
+      code: Why the call was not run or its outcome is unknown; otherwise empty.
     """
 
     fingerprint: bytes
--- a/wasabidrum/decisions/keyed_verdict.py
+++ b/wasabidrum/decisions/keyed_verdict.py
@@ -1,4 +1,4 @@
-"""What the ledger tells a sidecar to do with a call."""
+"""What the idempotency ledger decides about a call."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Verdict(enum.Enum):
-    """The ways to treat a call that arrived with a key."""
+    """How the sidecar handles a call that arrived with a key."""
 
     RUN = "run"
     JOIN = "join"
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedVerdict:
-    """A verdict, with the kept answer of a replay and the code of a refusal."""
+    """A verdict, with the stored answer for a replay and the code for a refusal."""
 
     verdict: Verdict
     code: str = ""
--- a/wasabidrum/decisions/member_readers_test.py
+++ b/wasabidrum/decisions/member_readers_test.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the service and who hears it from whom."""
+"""Tests of which processes read the service and which processes they relay it to."""
 
 import collections
 import unittest
@@ -8,7 +8,7 @@
 
 
 def make_members(centres: int, each: int) -> list[Instance]:
-    """Returns members spread over data centres, every sixth an entry."""
+    """Returns members in several data centres, every sixth of them an entry."""
     roles = (InstanceRole.ENTRY, *[InstanceRole.SIDECAR] * 5)
     return [
         Instance(f"m{i}-{c}", roles[i % 6], f"r{c % 3}", f"c{c}", "127.0.0.1", 1, 1)
@@ -18,24 +18,24 @@
 
 
 def reached_from(plan: ReaderPlan, members: list[Instance], start: set[str], dead: set) -> set[str]:
-    """Returns who is connected to the start when links carry both ways."""
+    """Returns the live members that are connected to the start by links in either direction."""
     links = collections.defaultdict(set)
     for member in members:
         for parent in plan.parents(member.name):
             links[member.name].add(parent)
             links[parent].add(member.name)
     seen = set()
-    edge = list(start - dead)
-    while edge:
-        name = edge.pop()
+    frontier = list(start - dead)
+    while frontier:
+        name = frontier.pop()
         if name not in seen:
             seen.add(name)
-            edge += [other for other in links[name] if other not in dead]
+            frontier += [other for other in links[name] if other not in dead]
     return seen
 
 
 class ReaderPlanTest(unittest.TestCase):
-    """The plan is the same for all, bounded, and survives any one death."""
+    """The plan does not depend on order, is bounded, and tolerates any one death."""
 
     def test_fan_out_and_readers_are_bounded_at_the_two_year_size(self) -> None:
         members = make_members(9, 256)
@@ -50,10 +50,10 @@
             if not plan.is_reader(member.name):
                 self.assertEqual(len(set(plan.parents(member.name))), 2)
 
-    def test_any_one_death_leaves_everyone_connected(self) -> None:
-        """A reader or an inner process dies. With one tree, all that hung below it would stay
-        on the old revision until the plan is made anew, and operators would see a site that
-        lags for no visible reason."""
+    def test_after_any_one_death_all_others_stay_connected(self) -> None:
+        """A reader or an inner process dies. With a single tree, every process below it would stay
+        on the old revision until the next plan, and operators would see a site that lags for no
+        visible reason."""
         for each in (2, 3, 7, 40):
             members = make_members(3, each)
             plan = ReaderPlan(members)
@@ -62,7 +62,7 @@
                 start = {next(iter(sorted(names - {dead})))}
                 self.assertEqual(reached_from(plan, members, start, {dead}), names - {dead})
 
-    def test_one_departure_moves_few_readers(self) -> None:
+    def test_one_departure_changes_few_readers(self) -> None:
         members = make_members(9, 30)
         before = ReaderPlan(members)
         after = ReaderPlan([m for m in members if m.name != before.readers("c0")[0]])
--- a/wasabidrum/decisions/member_record.py
+++ b/wasabidrum/decisions/member_record.py
@@ -1,4 +1,4 @@
-"""What a process holds of one other."""
+"""What a process knows about another member."""
 
 import dataclasses
 
@@ -11,15 +11,16 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberRecord:
-    """A member, joined from the list, its own word and the word of others.
+    """A member, combined from the instance list, its own statuses and updates from other members.
 
     Attributes:
-      listed: What the list says of the slot, or None where it is not listed.
-      unlisted_at: Since when the list has lacked it.
-      says_leaving: It said itself that it is leaving; holds for the whole incarnation.
-      heard_at: When it was last heard directly.
+      instance: The address in use.
+      listed: The entry of its slot in the list, or None if it is not listed.
+      unlisted_at: Since when it has been missing from the list.
+      reported_leaving: Whether it has reported that it is leaving; holds for the whole incarnation.
+      heard_at: When its last message arrived at this process.
       suspected_at: When its state became SUSPECT.
-      flaps: How often it came back lately, decaying.
+      flaps: Number of recent returns to ALIVE, as of flapped_at; decays over time.
     """
 
     instance: Instance
@@ -28,7 +29,7 @@
     incarnation: str = ""
     sequence: int = 0
     state: MemberState = MemberState.ALIVE
-    says_leaving: bool = False
+    reported_leaving: bool = False
     heard_at: float = float("-inf")
     suspected_at: float = 0.0
     flaps: float = 0.0
@@ -42,23 +43,23 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it takes no new work, by its own word or by the list's."""
-        return self.says_leaving or self.instance.state is InstanceState.LEAVING
+        """Whether it accepts no new work, according to its own statuses or to the list."""
+        return self.reported_leaving or self.instance.state is InstanceState.LEAVING
 
-    def news(self) -> MemberUpdate:
-        """Returns what to tell others."""
+    def to_update(self) -> MemberUpdate:
+        """Returns the update to send to other members."""
         return MemberUpdate(
             self.name,
             self.state,
             self.incarnation,
             self.sequence,
-            self.says_leaving,
+            self.reported_leaving,
             self.instance if self.state is MemberState.ALIVE else None,
         )
 
 
 def instance_from(status: Status) -> Instance:
-    """Returns where a daemon listens, by its own word."""
+    """Returns the instance that a status describes, with the addresses the daemon reports."""
     state = InstanceState.LEAVING if status.leaving else InstanceState.LIVE
     return Instance(
         status.name,
@@ -73,13 +74,12 @@
 
 
 def address_of(instance: Instance) -> tuple[str, int, int]:
-    """Returns where an instance's daemon listens."""
+    """Returns the host and the ports at which the daemon of an instance listens."""
     return instance.host, instance.http_port, instance.peer_port
 
 
-def flaps_now(record: MemberRecord, now: float) -> float:
-    """Returns how often a member came back lately, each return counting half as much after
-    every half-life."""
+def decayed_flaps(record: MemberRecord, now: float) -> float:
+    """Returns the number of recent returns of a member, halved after every half-life."""
     if not record.flaps:
         return 0.0
     return record.flaps * 0.5 ** ((now - record.flapped_at) / FLAP_HALF_LIFE_SECONDS)
--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -1,91 +1,99 @@
-"""Who is there: the platform's lagging list joined with what processes say.
+"""Membership: joins the platform's instance list, which lags, with evidence from the members.
 
-Load pattern: 21 instances fail and 320 are replaced on an ordinary day, while the list
-lags, freezes, comes empty for a moment or names the dead; now and then a rack or a data
-centre goes at once. With the list alone, work would go to dead endpoints for as long as it
-lags, and an empty list would take the whole fleet out of routing. With evidence alone, one
-broken network card would call everyone dead. So a silent member is suspected first, it can
-refute that with a later status of its own, and a process to which too many fell silent at
-once concludes nothing until it knows that others still answer it.
+Load pattern: 21 instances fail and 320 are replaced on an ordinary day, while the list lags,
+freezes, is empty for a moment or contains dead instances; now and then a rack or a data centre
+fails at once. With the list alone, requests would go to dead endpoints for as long as it lags, and
+an empty list would take the whole fleet out of routing. With evidence alone, a process with one
+broken network card would declare every member dead. A member that falls silent is therefore
+suspected first, and can refute that with a later status. A process to which too many members fall
+silent at once declares none dead until it knows that others still respond to it.
 """
 
 import collections.abc
 
 from ..core.instance import Instance
 from ..core.status import Status
-from .member_record import MemberRecord, address_of, flaps_now, instance_from
+from .member_record import MemberRecord, address_of, decayed_flaps, instance_from
 from .member_update import MemberState, MemberUpdate
 
-SUSPICION_SECONDS = 4.0
-REFUSED_SECONDS = 0.5
-HEARD_LATELY_SECONDS = 2.0
-UNLISTED_SECONDS = 30.0
-IMPLAUSIBLE_SECONDS = 300.0
-IMPLAUSIBLE_FRACTION = 0.5
-SILENT_FRACTION = 0.5
-FEWEST_WATCHED = 3
-FLAPS_HELD_BACK = 3.0
+SUSPICION_TIMEOUT_SECONDS = 4.0
+REFUSED_TIMEOUT_SECONDS = 0.5
+RECENT_MESSAGE_SECONDS = 2.0
+UNLISTED_TIMEOUT_SECONDS = 30.0
+MAX_IMPLAUSIBLE_SECONDS = 300.0
+MIN_KEPT_FRACTION = 0.5
+MAX_SILENT_FRACTION = 0.5
+MIN_WATCHED = 3
+MAX_FLAPS = 3.0
 
 
 class MemberTable:
-    """The members that one process knows, itself excepted.
+    """The members that one process knows, not including itself.
 
     Attributes:
-      version: Grows whenever the set of usable members or an address changes.
-      isolated: Whether this process may be the one that is cut off.
+      version: Incremented whenever the set of usable members or an address changes.
+      isolated: Whether this process itself may be cut off, so that it declares no member dead.
     """
 
-    __slots__ = ("_name", "_records", "_news", "_implausible_at", "_pending", "version", "isolated")
+    __slots__ = (
+        "_name",
+        "_records",
+        "_updates",
+        "_implausible_at",
+        "_pending",
+        "version",
+        "isolated",
+    )
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._records: dict[str, MemberRecord] = {}
-        self._news: list[MemberUpdate] = []
+        self._updates: list[MemberUpdate] = []
         self._implausible_at: float | None = None
-        # Those that time changes something about, so that a tick costs nothing for the rest.
+        # Names of the members that a tick may change, so that it does not visit the others.
         self._pending: set[str] = set()
         self.version = 0
         self.isolated = False
 
     @property
     def records(self) -> collections.abc.ValuesView[MemberRecord]:
-        """Every member known, the dead included."""
+        """All known members, including the dead."""
         return self._records.values()
 
     @property
     def list_is_implausible(self) -> bool:
-        """Whether the list lost too many at once and is not followed yet."""
+        """Whether too many members vanished from the list at once, so that it is not followed."""
         return self._implausible_at is not None
 
     def get(self, name: str) -> MemberRecord | None:
-        """Returns a member, or None where it is unknown."""
+        """Returns a member, or None if it is unknown."""
         return self._records.get(name)
 
     def usable(self, now: float) -> list[MemberRecord]:
-        """Returns the members to talk to: neither suspected, dead nor held back for flapping."""
+        """Returns the members to contact: those not suspected, dead or flapping."""
         return [
             record
             for record in self._records.values()
             if record.state is MemberState.ALIVE
-            and flaps_now(record, now) <= FLAPS_HELD_BACK
+            and decayed_flaps(record, now) <= MAX_FLAPS
             and record.instance.peer_port
         ]
 
     def take_news_to_pass_on(self) -> list[MemberUpdate]:
-        """Returns what became known since the last call, to be told to others."""
-        news, self._news = self._news, []
-        return news
+        """Returns and clears the updates since the last call, to be sent to other members."""
+        updates, self._updates = self._updates, []
+        return updates
 
     def take_list(self, instances: collections.abc.Iterable[Instance], now: float) -> None:
-        """Takes the platform's list, from whoever read it."""
+        """Applies the platform's list, which this process or another member has read."""
         listed = {i.name: i for i in instances if i.name != self._name}
         before = [record for record in self._records.values() if record.listed is not None]
         kept = sum(record.name in listed for record in before)
-        if kept < len(before) * IMPLAUSIBLE_FRACTION:
-            # An empty or cut list would take the fleet out of routing within one read. An
-            # operator sees LIST_IMPLAUSIBLE; evidence alone removes members meanwhile.
+        if kept < len(before) * MIN_KEPT_FRACTION:
+            # An empty or truncated list would take the fleet out of routing within one read. An
+            # operator sees LIST_IMPLAUSIBLE; meanwhile only evidence removes members.
             self._implausible_at = now if self._implausible_at is None else self._implausible_at
-            if now - self._implausible_at < IMPLAUSIBLE_SECONDS:
+            if now - self._implausible_at < MAX_IMPLAUSIBLE_SECONDS:
                 self._add_listed(listed)
                 return
         self._implausible_at = None
@@ -97,7 +105,7 @@
                 self._pending.add(record.name)
 
     def take_status(self, status: Status, now: float) -> None:
-        """Takes what a member said of itself, directly to this process."""
+        """Applies a status that a member sent to this process about itself."""
         if status.name == self._name:
             return
         record = self._records.get(status.name)
@@ -107,29 +115,29 @@
             self._pending.add(record.name)
         elif status.incarnation < record.incarnation:
             return
-        later = status.incarnation > record.incarnation
-        if not later and status.sequence < record.sequence:
+        newer = status.incarnation > record.incarnation
+        if not newer and status.sequence < record.sequence:
             return
-        heard_before = bool(record.incarnation)
-        changed = later or record.state is not MemberState.ALIVE
-        if later:
+        status_received_before = bool(record.incarnation)
+        changed = newer or record.state is not MemberState.ALIVE
+        if newer:
             record.incarnation = status.incarnation
-            record.says_leaving = False
-            # The address that the platform lists may lead through something that the daemon
-            # does not know of. Its own word counts where the list cannot mean this run.
-            if status.peer_port and (heard_before or record.listed is None):
+            record.reported_leaving = False
+            # The listed address may reach the daemon in a way that the daemon does not know of. The
+            # reported address replaces it only if the list cannot mean this incarnation.
+            if status.peer_port and (status_received_before or record.listed is None):
                 record.instance = instance_from(status)
-        changed = changed or status.leaving > record.says_leaving
-        record.says_leaving = record.says_leaving or status.leaving
+        changed = changed or status.leaving > record.reported_leaving
+        record.reported_leaving = record.reported_leaving or status.leaving
         record.sequence = status.sequence
         record.status = status
         record.heard_at = now
         self._set_state(record, MemberState.ALIVE, now)
         if changed:
-            self._tell(record)
+            self._publish(record)
 
     def take_beat(self, name: str, sequence: int, now: float) -> None:
-        """Takes a sign of life of the run whose status is held."""
+        """Applies a heartbeat of the incarnation whose status is known."""
         record = self._records.get(name)
         if record is None or sequence < record.sequence:
             return
@@ -137,66 +145,79 @@
         record.heard_at = now
         if record.state is not MemberState.ALIVE:
             self._set_state(record, MemberState.ALIVE, now)
-            self._tell(record)
+            self._publish(record)
 
-    def take_news(self, news: MemberUpdate, now: float) -> bool:
-        """Takes what somebody says of a member; returns whether this process must refute it."""
-        if news.name == self._name:
-            return news.state is not MemberState.ALIVE
-        record = self._records.get(news.name)
+    def take_news(self, update: MemberUpdate, now: float) -> bool:
+        """Applies an update about a member; returns whether this process must refute it."""
+        if update.name == self._name:
+            return update.state is not MemberState.ALIVE
+        record = self._records.get(update.name)
         if record is None:
-            if news.instance is None or news.state is not MemberState.ALIVE:
+            if update.instance is None or update.state is not MemberState.ALIVE:
                 return False
-            record = MemberRecord(news.instance, unlisted_at=now)
-            self._records[news.name] = record
+            record = MemberRecord(update.instance, unlisted_at=now)
+            self._records[update.name] = record
             self._pending.add(record.name)
         held = (record.incarnation, record.sequence, record.state)
-        if (news.incarnation, news.sequence, news.state) <= held:
+        if (update.incarnation, update.sequence, update.state) <= held:
             return False
-        later = news.incarnation > record.incarnation
-        heard_lately = now - record.heard_at < HEARD_LATELY_SECONDS and not later
-        if news.state is not MemberState.ALIVE and heard_lately:
-            # Whoever suspects it lost its own link; this process hears it, and says so.
-            self._tell(record)
+        newer = update.incarnation > record.incarnation
+        recently_heard = now - record.heard_at < RECENT_MESSAGE_SECONDS and not newer
+        if update.state is not MemberState.ALIVE and recently_heard:
+            # The sender's own link to the member is broken; this process still receives messages
+            # from the member, and sends an update that says so.
+            self._publish(record)
             return False
-        if later or news.leaving > record.says_leaving or news.state is not record.state:
-            self._news.append(news)
+        if newer or update.leaving > record.reported_leaving or update.state is not record.state:
+            self._updates.append(update)
             self.version += 1
-        if later and news.instance is not None:
-            record.instance = news.instance
-        record.says_leaving = news.leaving if later else record.says_leaving or news.leaving
-        record.incarnation = news.incarnation
-        record.sequence = news.sequence
-        self._set_state(record, news.state, now)
+        if newer and update.instance is not None:
+            record.instance = update.instance
+        record.reported_leaving = (
+            update.leaving if newer else record.reported_leaving or update.leaving
+        )
+        record.incarnation = update.incarnation
+        record.sequence = update.sequence
+        self._set_state(record, update.state, now)
         return False
 
     def suspect(self, name: str, now: float, refused: bool = False) -> bool:
-        """Takes that a member fell silent, or refuses connections; returns whether that is new."""
+        """Marks a member as suspected after missed heartbeats or a refused connection.
+
+        Returns:
+          Whether the member is newly suspected.
+        """
         record = self._records.get(name)
         if record is None or record.state is MemberState.DEAD:
             return False
-        if refused and self._take_told_address(record):
+        if refused and self._use_reported_address(record):
             return False
-        new = record.state is MemberState.ALIVE
-        if new:
+        newly_suspected = record.state is MemberState.ALIVE
+        if newly_suspected:
             self._set_state(record, MemberState.SUSPECT, now)
             if not self.isolated:
-                self._tell(record)
+                self._publish(record)
         if refused:
-            # Nobody listens at its address: that is its end and not a slow network.
-            early = now - SUSPICION_SECONDS + REFUSED_SECONDS
+            # No process listens at its address: it has ended, which a slow network cannot cause.
+            early = now - SUSPICION_TIMEOUT_SECONDS + REFUSED_TIMEOUT_SECONDS
             record.suspected_at = min(record.suspected_at, early)
-        return new
+        return newly_suspected
 
     def looks_isolated(self, watched: collections.abc.Collection[str]) -> bool:
-        """Returns whether so many of those that this process watches are silent that it must
-        ask others before it believes that they, and not itself, are cut off."""
+        """Returns whether this process may be cut off: too many watched members are silent.
+
+        It must then contact other members before it declares the silent ones dead.
+        """
         known = [self._records[name] for name in watched if name in self._records]
         silent = sum(record.state is not MemberState.ALIVE for record in known)
-        return len(known) >= FEWEST_WATCHED and silent > len(known) * SILENT_FRACTION
+        return len(known) >= MIN_WATCHED and silent > len(known) * MAX_SILENT_FRACTION
 
     def tick(self, now: float) -> list[str]:
-        """Ends suspicions that nobody refuted and forgets the unlisted; returns the new dead."""
+        """Declares members dead whose suspicion expired, and removes unlisted silent ones.
+
+        Returns:
+          The names of the members that are newly dead.
+        """
         dead = []
         for name in list(self._pending):
             record = self._records.get(name)
@@ -204,18 +225,22 @@
             if record is None or not (suspected or record.listed is None):
                 self._pending.discard(name)
                 continue
-            if suspected and not self.isolated and now - record.suspected_at >= SUSPICION_SECONDS:
+            if (
+                suspected
+                and not self.isolated
+                and now - record.suspected_at >= SUSPICION_TIMEOUT_SECONDS
+            ):
                 self._set_state(record, MemberState.DEAD, now)
-                self._tell(record)
+                self._publish(record)
                 dead.append(record.name)
-            quiet_for = now - max(record.unlisted_at, record.heard_at)
-            if record.listed is None and quiet_for > UNLISTED_SECONDS:
+            silent_for = now - max(record.unlisted_at, record.heard_at)
+            if record.listed is None and silent_for > UNLISTED_TIMEOUT_SECONDS:
                 del self._records[record.name]
                 self.version += 1
         return dead
 
     def forgive(self, seconds: float) -> None:
-        """Takes that this process itself slept: nobody's silence meanwhile counts."""
+        """Extends the time limits by a pause of this process, when silence was no evidence."""
         for record in self._records.values():
             record.suspected_at += seconds
             if record.unlisted_at:
@@ -228,10 +253,10 @@
                 record = self._records[name] = MemberRecord(instance, listed=instance)
                 self.version += 1
             elif record.listed != instance:
-                self._take_listed(record, instance)
+                self._apply_listed(record, instance)
             record.listed = instance
 
-    def _take_listed(self, record: MemberRecord, instance: Instance) -> None:
+    def _apply_listed(self, record: MemberRecord, instance: Instance) -> None:
         before = record.listed or record.instance
         moved = (before.host, before.peer_port, before.http_port) != (
             instance.host,
@@ -240,19 +265,20 @@
         )
         self.version += 1
         if moved and address_of(record.instance) != address_of(instance):
-            # The slot was given to a new process: nothing known of the one before holds.
+            # The slot was given to a new process, so the record of the old one is dropped.
             self._records[instance.name] = MemberRecord(instance, listed=instance)
         elif address_of(record.instance) == address_of(instance):
             record.instance = instance
 
-    def _take_told_address(self, record: MemberRecord) -> bool:
-        # A frozen list names the slot's last process; the present one told where it is.
+    def _use_reported_address(self, record: MemberRecord) -> bool:
+        # A frozen list has the address of the slot's previous process; the present one reported
+        # its own.
         if record.status is None or not record.status.peer_port:
             return False
-        told = instance_from(record.status)
-        if address_of(told) == address_of(record.instance):
+        reported = instance_from(record.status)
+        if address_of(reported) == address_of(record.instance):
             return False
-        record.instance = told
+        record.instance = reported
         self.version += 1
         return True
 
@@ -260,7 +286,7 @@
         if record.state is state:
             return
         if state is MemberState.ALIVE:
-            record.flaps = flaps_now(record, now) + 1.0
+            record.flaps = decayed_flaps(record, now) + 1.0
             record.flapped_at = now
         if state is MemberState.SUSPECT:
             record.suspected_at = now
@@ -268,6 +294,6 @@
         record.state = state
         self.version += 1
 
-    def _tell(self, record: MemberRecord) -> None:
-        self._news.append(record.news())
+    def _publish(self, record: MemberRecord) -> None:
+        self._updates.append(record.to_update())
         self.version += 1
--- a/wasabidrum/decisions/member_update.py
+++ b/wasabidrum/decisions/member_update.py
@@ -1,4 +1,4 @@
-"""What one process tells another of a third."""
+"""An update about a member, which one process sends to another."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is held of a member. Of one account, the higher state outranks the lower."""
+    """The state of a member. At the same sequence, the higher state has precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,14 +16,14 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A member's state as of one of its own statuses.
+    """The state of a member as of one of its statuses.
 
     Attributes:
-      incarnation: Which run of the member this is about; later runs sort higher.
-      sequence: The member's last status that the teller had when it said so. The member
-        refutes a suspicion by telling of itself with a higher one.
-      leaving: Whether the member takes no new work.
-      instance: Where the member listens, told with its first news.
+      incarnation: The incarnation of the member; later ones compare greater.
+      sequence: The sequence of the member's last status that the sender had received. The member
+        refutes a suspicion with an update of its own that has a higher sequence.
+      leaving: Whether the member accepts no new work.
+      instance: The addresses of the member; not sent of one that is suspected or dead.
     """
 
     name: str
--- a/wasabidrum/decisions/purity_test.py
+++ b/wasabidrum/decisions/purity_test.py
@@ -1,4 +1,4 @@
-"""Holds the decisions apart from the network, so that they can be read and tested alone."""
+"""Checks that the decisions do not depend on the network, so that they can be tested alone."""
 
 import ast
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def imported_names(path: pathlib.Path) -> set[str]:
-    """Returns the first part of every name that a module imports."""
+    """Returns the first component of every name that a module imports."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -21,11 +21,11 @@
 
 
 class PurityTest(unittest.TestCase):
-    """No decision imports the network, the clock, or a package that does."""
+    """No module of this package imports the network, the clock, or a package that does."""
 
-    def test_no_module_reaches_outside(self) -> None:
+    def test_no_module_imports_the_network_or_the_clock(self) -> None:
         for path in FOLDER.glob("*.py"):
             if path.name.endswith("_test.py"):
                 continue
-            reached = imported_names(path) & (FORBIDDEN | FORBIDDEN_PACKAGES)
-            self.assertEqual(reached, set(), path.name)
+            forbidden = imported_names(path) & (FORBIDDEN | FORBIDDEN_PACKAGES)
+            self.assertEqual(forbidden, set(), path.name)
--- a/wasabidrum/decisions/retry_budget.py
+++ b/wasabidrum/decisions/retry_budget.py
@@ -1,42 +1,48 @@
-"""How much load retries may add.
+"""Limits the load that retries add.
 
-Load pattern: every endpoint fails. Each request is tried again, by the entry and by its
-caller, and the fleet gets several times the load it already could not carry; it stays down
-after the cause has gone, because the retries alone keep it down.
+Load pattern: all endpoints fail. Each request is retried by the entry and by its caller, and the
+fleet gets several times the load that it already could not handle. It stays overloaded after the
+cause is gone, because the retries alone keep it so.
 
-Each request earns a tenth of a retry, and a retry spends a whole one, so that retries add at
-most a tenth to the load. Only the entry retries: sidecars, sent one attempt, make one.
+Each request earns a tenth of a retry and each retry costs a whole one, so that retries add at
+most a tenth to the load. Only the entry retries; a sidecar makes a single attempt.
 """
 
-EARNED_BY_REQUEST = 0.1
-LARGEST_PURSE = 10.0
-FIRST_PURSE = LARGEST_PURSE
-MOST_RETRIES_OF_ONE = 2
+EARNED_PER_REQUEST = 0.1
+MAX_BALANCE = 10.0
+INITIAL_BALANCE = MAX_BALANCE
+MAX_RETRIES_PER_REQUEST = 2
 
 
 class RetryBudget:
-    """Retries that were earned and not yet spent."""
+    """The balance of retries that were earned and not yet spent."""
 
-    __slots__ = ("_purse", "_earned", "_largest")
+    __slots__ = ("_balance", "_earned_per_request", "_max_balance")
 
     def __init__(
         self,
-        earned: float = EARNED_BY_REQUEST,
-        largest: float = LARGEST_PURSE,
-        first: float = FIRST_PURSE,
+        earned_per_request: float = EARNED_PER_REQUEST,
+        max_balance: float = MAX_BALANCE,
+        initial_balance: float = INITIAL_BALANCE,
     ) -> None:
-        """Takes what a request earns, the largest purse, and the one to begin with."""
-        self._purse = first
-        self._earned = earned
-        self._largest = largest
+        """Creates a budget.
+
+        Args:
+          earned_per_request: Retries earned by each request.
+          max_balance: Upper limit of the balance.
+          initial_balance: Initial balance.
+        """
+        self._balance = initial_balance
+        self._earned_per_request = earned_per_request
+        self._max_balance = max_balance
 
     def earn(self) -> None:
-        """Counts one request that was placed for the first time."""
-        self._purse = min(self._largest, self._purse + self._earned)
+        """Adds what one request earns when it is first placed."""
+        self._balance = min(self._max_balance, self._balance + self._earned_per_request)
 
     def spend(self, retries_so_far: int) -> bool:
-        """Takes one retry from the budget; returns whether there was one."""
-        if retries_so_far >= MOST_RETRIES_OF_ONE or self._purse < 1.0:
+        """Spends one retry; returns whether the budget allowed it."""
+        if retries_so_far >= MAX_RETRIES_PER_REQUEST or self._balance < 1.0:
             return False
-        self._purse -= 1.0
+        self._balance -= 1.0
         return True
--- a/wasabidrum/decisions/revision_book.py
+++ b/wasabidrum/decisions/revision_book.py
@@ -1,21 +1,21 @@
-"""Which revision a process may put in force, whoever offers it.
-
-Load pattern: 1,500 revisions a day reach each process many times over, from readers, from
-peers, from a restored service and from processes that slept. Without this book the last
-one to speak would win: a service restored from an old copy, or a peer that wakes late,
-would undo an operator's change. The book holds the highest revision known and never goes
-down; a revision with two contents is reported and not chosen between, because either
-choice could undo what some site already runs.
+"""Decides which configuration revision a process may put in force, whatever its source.
+
+Load pattern: 1,500 revisions a day reach each process many times over: from readers, from peers,
+from a restored service and from processes that were paused. If the last message won, a service
+that was restored from an old copy, or a peer that resumes late, would undo an operator's change.
+The highest revision known is therefore kept and never decreases. If a revision has two contents,
+this is reported and neither is chosen, because either choice could undo what some site already
+runs.
 """
 
 import dataclasses
 import enum
 
-KNOWN_CLAIMS_KEPT = 8
+MAX_CLAIMS = 8
 
 
 class Claim(enum.Enum):
-    """What to do about somebody's word that a revision exists."""
+    """How to handle a claim that a revision exists."""
 
     OLD = "old"
     HELD = "held"
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Refusal:
-    """A revision that was found invalid, and every fault that was found."""
+    """An invalid revision, and all faults that were found in it."""
 
     revision: int
     digest: str
@@ -34,11 +34,11 @@
 
 
 class RevisionBook:
-    """The order of revisions at one process.
+    """The revisions that one process knows.
 
     Attributes:
       refusal: The highest invalid revision above the one in force, or None.
-      alarm: What is wrong with the revisions themselves, or empty.
+      alarm: A conflict between contents of the same revision, or empty.
     """
 
     __slots__ = ("_revision", "_digest", "_digests", "refusal", "alarm")
@@ -52,27 +52,27 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force, zero before the first."""
+        """The revision in force; zero before the first."""
         return self._revision
 
     @property
     def digest(self) -> str:
-        """The digest of the value in force, empty before the first."""
+        """The digest of the value in force; empty before the first."""
         return self._digest
 
     @property
     def highest(self) -> int:
-        """The highest revision that anyone was ever heard to have."""
+        """The highest revision that was ever claimed."""
         return max(self._revision, max(self._digests, default=0))
 
     @property
     def is_behind(self) -> bool:
-        """Whether a revision is known that may be valid and is not in force yet."""
+        """Whether a higher revision is known that may be valid and is not in force yet."""
         refused = self.refusal.revision if self.refusal is not None else 0
         return not self.alarm and self.highest > max(self._revision, refused)
 
     def judge(self, revision: int, digest: str) -> Claim:
-        """Takes somebody's word for a revision; says what to do about it."""
+        """Records a claim that a revision exists; returns how to handle it."""
         if revision < self._revision:
             return Claim.OLD
         if revision == self._revision:
@@ -80,10 +80,10 @@
                 return Claim.HELD
             return self._report_conflict(revision, self._digest, digest)
         known = self._digests.setdefault(revision, digest)
-        self._forget_lowest()
+        self._drop_lowest_claims()
         if known != digest:
-            # A service that was restored and then published anew under numbers already
-            # used shows here. Half the fleet may run either content, so neither is taken.
+            # This happens if a service was restored and then published under numbers that were
+            # already used. Half the fleet may run either content, so neither is chosen.
             return self._report_conflict(revision, known, digest)
         if self.alarm and self._conflicts(revision):
             return Claim.CONFLICT
@@ -92,7 +92,7 @@
         return Claim.WANTED
 
     def put_in_force(self, revision: int, digest: str) -> bool:
-        """Takes a whole and valid value; returns False where it must not be in force."""
+        """Puts a complete and valid value in force; returns False if that is not allowed."""
         if self.judge(revision, digest) is not Claim.WANTED:
             return False
         self._revision = revision
@@ -100,12 +100,12 @@
         self._digests = {n: known for n, known in self._digests.items() if n > revision}
         if self.refusal is not None and self.refusal.revision <= revision:
             self.refusal = None
-        # Whatever the conflict was, every process that takes this revision agrees again.
+        # All processes that put this revision in force agree again, whatever the conflict was.
         self.alarm = ""
         return True
 
     def refuse(self, revision: int, digest: str, reason: str) -> bool:
-        """Takes that a value is invalid; returns whether that is new here."""
+        """Records that a value is invalid; returns whether this was not known."""
         if revision <= self._revision:
             return False
         held = self.refusal
@@ -117,21 +117,21 @@
         return True
 
     def take_alarm(self, revision: int, alarm: str) -> None:
-        """Takes an alarm that a process with a revision in force raised.
+        """Adopts an alarm from a process that has the given revision in force.
 
-        Only few processes hear both contents of a revision; operators may ask any.
+        Only few processes receive both contents of a revision, but operators may query any process.
         """
         if revision == self._revision and not self.alarm:
             self.alarm = alarm
 
-    def _report_conflict(self, revision: int, known: str, told: str) -> Claim:
-        pair = " and ".join(sorted((known, told)))
+    def _report_conflict(self, revision: int, known: str, claimed: str) -> Claim:
+        pair = " and ".join(sorted((known, claimed)))
         self.alarm = f"revision {revision} has two contents: {pair}"
         return Claim.CONFLICT
 
     def _conflicts(self, revision: int) -> bool:
         return self.alarm.startswith(f"revision {revision} ")
 
-    def _forget_lowest(self) -> None:
-        while len(self._digests) > KNOWN_CLAIMS_KEPT:
+    def _drop_lowest_claims(self) -> None:
+        while len(self._digests) > MAX_CLAIMS:
             del self._digests[min(self._digests)]
--- a/wasabidrum/decisions/revision_book_test.py
+++ b/wasabidrum/decisions/revision_book_test.py
@@ -1,4 +1,4 @@
-"""Tests of the order of revisions."""
+"""Tests of which revisions may be put in force."""
 
 import unittest
 
@@ -6,22 +6,22 @@
 
 
 class RevisionBookTest(unittest.TestCase):
-    """The revision in force goes up only, and is never one of two contents."""
+    """The revision in force only increases, and none with two contents is put in force."""
 
     def setUp(self) -> None:
         self.book = RevisionBook()
         self.book.put_in_force(5, "five")
 
     def test_an_old_revision_is_refused(self) -> None:
-        """The service comes back from an old copy and offers the revision before. Without the
-        book operators would see their last change undo itself."""
+        """The service is restored from an old copy and offers the previous revision. If it were put
+        in force, the operators' last change would be undone."""
         self.assertIs(self.book.judge(4, "four"), Claim.OLD)
         self.assertFalse(self.book.put_in_force(4, "four"))
         self.assertEqual(self.book.revision, 5)
 
-    def test_two_contents_of_one_revision_are_an_alarm_and_no_choice(self) -> None:
-        """The service was restored, and operators published again under a number already used.
-        Without the alarm two sites would run two contents that both call themselves 6."""
+    def test_two_contents_of_one_revision_raise_an_alarm_and_neither_is_chosen(self) -> None:
+        """The service was restored, and operators published under a number that was already used.
+        Without the alarm two sites would run different contents as revision 6."""
         self.assertIs(self.book.judge(6, "one"), Claim.WANTED)
         self.assertIs(self.book.judge(6, "other"), Claim.CONFLICT)
         self.assertIs(self.book.judge(6, "one"), Claim.CONFLICT)
@@ -31,15 +31,15 @@
         self.assertEqual(self.book.alarm, "")
 
     def test_a_second_content_of_the_revision_in_force_changes_nothing(self) -> None:
-        """A peer runs another content under the number in force here. Operators see the alarm
-        at both, and neither changes what callers get."""
+        """A peer runs another content as the revision in force here. Operators see the alarm at
+        both, and neither changes the configuration it serves."""
         self.assertIs(self.book.judge(5, "other"), Claim.CONFLICT)
         self.assertEqual(self.book.digest, "five")
         self.assertIn("revision 5", self.book.alarm)
 
-    def test_a_refused_value_is_not_asked_for_again_and_a_later_one_clears_it(self) -> None:
-        """An invalid revision is published. Every process must keep the one before, say why
-        once, and go on with the next valid one."""
+    def test_an_invalid_value_is_not_fetched_again_and_a_later_one_clears_it(self) -> None:
+        """An invalid revision is published. Every process must keep the previous one, report the
+        reason once, and put the next valid one in force."""
         self.book.judge(6, "bad")
         self.assertTrue(self.book.refuse(6, "bad", "models: expected object"))
         self.assertFalse(self.book.refuse(6, "bad", "models: expected object"))
@@ -48,7 +48,7 @@
         self.assertTrue(self.book.put_in_force(7, "seven"))
         self.assertIsNone(self.book.refusal)
 
-    def test_claims_without_values_do_not_fill_the_memory(self) -> None:
+    def test_the_number_of_stored_claims_is_limited(self) -> None:
         for revision in range(10, 1000):
             self.book.judge(revision, "x")
         self.assertEqual(self.book.highest, 999)
--- a/wasabidrum/decisions/route_table.py
+++ b/wasabidrum/decisions/route_table.py
@@ -1,7 +1,7 @@
-"""Which route a request takes, and whose key it shows.
+"""Finds the route of a request and the workspace of its key.
 
-Load pattern: hundreds of routes, each request looked up once. A scan of all would cost more
-than the rest of a request's handling; by host, a request meets only its own host's routes.
+Load pattern: hundreds of routes, and one lookup per request. A scan of all routes would cost more
+than all other handling of a request, so a request is compared only with the routes of its host.
 """
 
 import hashlib
@@ -11,7 +11,7 @@
 
 
 class RouteTable:
-    """One configuration, laid out for lookups."""
+    """Indexes of one configuration."""
 
     __slots__ = ("configuration", "_by_host", "_workspaces", "_services")
 
@@ -22,7 +22,7 @@
             self._by_host.setdefault(route.host.lower(), []).append(route)
         for routes in self._by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
-        # Looked up by digest, so that the time of a lookup tells nothing of a key's letters.
+        # Keys are looked up by digest, so that the time of a lookup reveals nothing about a key.
         self._workspaces = {
             digest_key(key): workspace
             for workspace in configuration.workspaces
@@ -32,25 +32,25 @@
 
     @property
     def has_workspaces(self) -> bool:
-        """Whether callers of routes that are not public need a key."""
+        """Whether callers need a key for routes that are not public."""
         return bool(self.configuration.workspaces)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route of a host with the longest prefix of a path, or None."""
+        """Returns the route of a host with the longest prefix that matches a path, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def workspace_of(self, key: str) -> WorkspaceKeys | None:
-        """Returns who holds a key, or None."""
+        """Returns the workspace that a key belongs to, or None."""
         return self._workspaces.get(digest_key(key))
 
     def service(self, name: str) -> PublishedService | None:
-        """Returns a service, or None where it is not published."""
+        """Returns a service, or None if it is not published."""
         return self._services.get(name)
 
 
 def digest_key(key: str) -> bytes:
-    """Returns what a key is looked up by."""
+    """Returns the digest by which a key is looked up."""
     return hashlib.sha256(key.encode(errors="surrogateescape")).digest()
--- a/wasabidrum/decisions/route_table_test.py
+++ b/wasabidrum/decisions/route_table_test.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and whose key it shows."""
+"""Tests of finding the route of a request and the workspace of its key."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def make_route(host: str, prefix: str, service: str) -> Route:
-    """Returns a route with nothing special."""
+    """Returns a route with default properties."""
     target = RouteTarget(service, 1.0)
     return Route(service, host, prefix, RouteKind.SAFE, 1.0, 0.1, 0, (target,))
 
@@ -33,12 +33,12 @@
         self.assertEqual(self.table.find("a.example", "/x/y/z").name, "long")
         self.assertEqual(self.table.find("a.example", "/x/yz").name, "short")
 
-    def test_a_host_sees_only_its_own_routes(self) -> None:
+    def test_a_host_matches_only_its_own_routes(self) -> None:
         self.assertEqual(self.table.find("b.example", "/x/y/z").name, "other")
         self.assertIsNone(self.table.find("c.example", "/x/"))
         self.assertIsNone(self.table.find("a.example", "/"))
 
-    def test_every_key_of_a_workspace_is_its_own(self) -> None:
+    def test_every_key_of_a_workspace_identifies_it(self) -> None:
         self.assertEqual(self.table.workspace_of("k2").name, "till")
         self.assertEqual(self.table.workspace_of("k3").name, "shop")
         self.assertIsNone(self.table.workspace_of(""))
--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -1,29 +1,28 @@
-"""When the platform's store did not answer, by this process's own calls.
+"""Determines from this process's own calls when the platform's store did not respond.
 
-Load pattern: the store does not answer for seconds while a version is named. The time within
-which a version must be in force counts only while the store answers; counted from the naming,
-all callers would be refused before any engine could have heard of the version.
+Load pattern: the store does not respond for seconds while a new version is published. The time
+within which a version must be in force counts only while the store responds. Counted from the
+publication, all callers would be refused before any engine could have learned of the version.
 
-Only what this process knows counts, and only as far as it knows it. A run of failed calls shows
-that the store was away when the last of them was sent. It shows nothing of the time before a peer
-had an answer, where calls fail after that as well, for then the store turned away this process
-alone; nor where the run is too short for peers to have been asked, nor where this process itself
-was suspended.
+Only what this process has observed counts. A run of failed calls shows that the store was down
+until the last of them was sent. It shows nothing about the time before a peer got a response, if
+calls fail after that as well, because the store then refuses only this process. It also shows
+nothing if the run is too short for peers to have been asked, or if this process was suspended.
 """
 
 import dataclasses
 
-# Peers are asked once the evidence is 1.7 s old; what they answer may itself be 2.4 s old.
-SHORTEST_OUTAGE_SECONDS = 4.0
+# Peers are asked once the last response is 1.7 s old; what they report may itself be 2.4 s old.
+MIN_OUTAGE_SECONDS = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which the store did not answer.
+    """A period in which the store did not respond.
 
     Attributes:
-      began: When a call had certainly failed.
-      over: Until when the store certainly did not count as answering.
+      began: A time at which a call had certainly failed.
+      over: The time until which the store certainly did not count as responding.
     """
 
     began: float
@@ -34,74 +33,91 @@
 
 
 class StoreOutages:
-    """The store's last outage that this process can vouch for.
+    """The store's last outage that this process has observed.
 
-    All times are of a clock that counts while the instance is suspended.
+    All times are of a clock that keeps counting while the instance is suspended.
     """
 
-    __slots__ = ("_settling", "_first", "_last", "_refused", "_latest", "_peers_first")
+    __slots__ = (
+        "_settling",
+        "_failing_since",
+        "_last_sent_at",
+        "_last_refused",
+        "_last_ended",
+        "_peers_failing_since",
+    )
 
-    def __init__(self, settling: float) -> None:
-        """Takes the seconds after an outage until the store counts as answering again."""
-        self._settling = settling
-        self._first: float | None = None
-        # Since when peers said that their calls fail, before one of this process had failed.
-        self._peers_first = float("inf")
-        self._last = 0.0
-        self._refused = False
-        self._latest = NO_OUTAGE
+    def __init__(self, settling_seconds: float) -> None:
+        """Creates a record without an outage.
+
+        Args:
+          settling_seconds: Seconds after an outage until the store counts as responding again.
+        """
+        self._settling = settling_seconds
+        self._failing_since: float | None = None
+        # Since when calls of peers have failed, if reported before a call of this process failed.
+        self._peers_failing_since = float("inf")
+        self._last_sent_at = 0.0
+        self._last_refused = False
+        self._last_ended = NO_OUTAGE
 
     def record_failure(
         self,
-        asked_at: float,
+        sent_at: float,
         failed_at: float,
         refused: bool,
-        held_up: bool,
-        evidence_date: float,
+        paused: bool,
+        last_response_at: float,
     ) -> None:
-        """Records a call without an answer, or with a refusal, of the store.
+        """Records a call to the store that got no response or was refused.
 
         Args:
-          asked_at: When the call was sent.
-          failed_at: When it failed. A watch may have waited at a sound store for most of the time
-            in between.
-          refused: The store itself said that it is not available. A call that ended otherwise may
-            have been lost on the way.
-          held_up: Whether this process stood still between the call and its end.
-          evidence_date: When the store last answered anyone, as far as is known.
+          sent_at: When the call was sent.
+          failed_at: When it failed. A watch may have waited at a working store for most of the
+            time in between.
+          refused: Whether the store itself reported that it is unavailable. A call that failed
+            otherwise may have been lost in the network.
+          paused: Whether this process was paused between the call and its end.
+          last_response_at: When the store last responded to any process, as far as is known.
         """
-        if held_up and not refused:
+        if paused and not refused:
             return
-        if self._first is None or self._first < evidence_date < asked_at:
-            self._first = min(failed_at, self._peers_first)
-            self._peers_first = float("inf")
-        self._last = asked_at
-        self._refused = refused
+        if self._failing_since is None or self._failing_since < last_response_at < sent_at:
+            self._failing_since = min(failed_at, self._peers_failing_since)
+            self._peers_failing_since = float("inf")
+        self._last_sent_at = sent_at
+        self._last_refused = refused
 
     def record_peer(self, unanswered_since: float) -> None:
-        """Records since when a peer's calls have been failing, which still do.
+        """Records since when all calls of a peer have been failing.
 
-        A process that has just started knows nothing of how long an outage has lasted.
+        A process that has just started cannot know otherwise how long an outage has lasted.
         """
-        if self._first is not None:
-            self._first = min(self._first, unanswered_since)
-        elif self._latest is NO_OUTAGE:
-            self._peers_first = unanswered_since
+        if self._failing_since is not None:
+            self._failing_since = min(self._failing_since, unanswered_since)
+        elif self._last_ended is NO_OUTAGE:
+            self._peers_failing_since = unanswered_since
 
     def record_answer(self) -> None:
-        """Records that the store answered."""
-        self._latest = self.latest
-        self._first = None
-        self._peers_first = float("inf")
+        """Records that the store responded."""
+        self._last_ended = self.latest
+        self._failing_since = None
+        self._peers_failing_since = float("inf")
 
     @property
     def unanswered_since(self) -> float | None:
-        """When the first of the calls failed that have been failing since, or None."""
-        return self._first
+        """When the present run of failed calls began, or None if the last call succeeded."""
+        return self._failing_since
 
     @property
     def latest(self) -> Outage:
-        """The last outage, one that goes on included."""
-        if self._first is None or self._last - self._first < SHORTEST_OUTAGE_SECONDS:
-            return self._latest
-        return Outage(self._first, self._last + (self._settling if self._refused else 0.0))
+        """The last outage, which may still continue."""
+        if (
+            self._failing_since is None
+            or self._last_sent_at - self._failing_since < MIN_OUTAGE_SECONDS
+        ):
+            return self._last_ended
+        return Outage(
+            self._failing_since,
+            self._last_sent_at + (self._settling if self._last_refused else 0.0),
+        )
--- a/wasabidrum/decisions/store_outage_test.py
+++ b/wasabidrum/decisions/store_outage_test.py
@@ -1,8 +1,8 @@
-"""What a run of failed calls to the store proves, and what it does not."""
+"""Tests of what a run of failed calls to the store proves."""
 
 import unittest
 
-from .store_outage import NO_OUTAGE, SHORTEST_OUTAGE_SECONDS, Outage, StoreOutages
+from .store_outage import MIN_OUTAGE_SECONDS, NO_OUTAGE, Outage, StoreOutages
 
 SETTLING = 3.0
 STEP_SECONDS = 0.5
@@ -10,83 +10,83 @@
 
 
 class StoreOutagesTest(unittest.TestCase):
-    """A store that counts as answering three seconds after an outage."""
+    """A store that counts as responding three seconds after an outage."""
 
     def setUp(self) -> None:
         self.outages = StoreOutages(SETTLING)
 
     def fail(
-        self, first: float, last: float, refused: bool = True, evidence_date: float = NEVER
+        self, first: float, last: float, refused: bool = True, last_response_at: float = NEVER
     ) -> None:
         """Records a failed call every half second."""
         for step in range(int((last - first) / STEP_SECONDS) + 1):
             at = first + STEP_SECONDS * step
-            self.outages.record_failure(at, at, refused, False, evidence_date)
+            self.outages.record_failure(at, at, refused, False, last_response_at)
 
-    def test_a_refusing_store_answers_again_only_after_it_has_settled(self) -> None:
+    def test_an_outage_with_refusals_includes_the_settling_time(self) -> None:
         self.fail(10.0, 18.0)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
-    def test_it_is_known_while_the_outage_goes_on(self) -> None:
+    def test_an_outage_is_reported_while_it_continues(self) -> None:
         self.fail(10.0, 15.0)
         self.assertEqual(self.outages.latest, Outage(10.0, 15.0 + SETTLING))
 
-    def test_calls_that_are_lost_do_not_prove_that_the_store_must_settle(self) -> None:
-        """A link that was cut is good again at once; only a store that was away settles."""
+    def test_an_outage_with_lost_calls_excludes_the_settling_time(self) -> None:
+        """A link that was cut works again at once; only a store that was down has to settle."""
         self.fail(10.0, 18.0, refused=False)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0))
 
-    def test_peers_that_have_answers_disprove_the_outage(self) -> None:
-        """The store turns one entry away and serves the others. Counted as an outage, that entry
-        would go on placing requests on replaced weights after all others have stopped."""
+    def test_responses_to_peers_disprove_the_outage(self) -> None:
+        """The store refuses one entry and serves the others. If that counted as an outage, this
+        entry would place requests on replaced weights after all others have stopped."""
         for second in range(10, 19):
-            self.fail(float(second), second + 0.5, evidence_date=second - 0.2)
+            self.fail(float(second), second + 0.5, last_response_at=second - 0.2)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
     def test_a_peer_whose_call_succeeds_first_disproves_nothing(self) -> None:
-        """The store is back, and a peer tells so before the next call of this process."""
+        """The store is back, and a peer reports that before the next call of this process."""
         self.fail(10.0, 18.0)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest.began, 10.0)
 
-    def test_a_peer_that_heard_just_before_the_outage_disproves_nothing(self) -> None:
-        """A watch that was sent before the outage fails in it; peers had answers in between."""
+    def test_a_response_to_a_peer_just_before_the_outage_disproves_nothing(self) -> None:
+        """A watch that was sent before the outage fails in it; peers had responses in between."""
         self.outages.record_failure(9.0, 10.0, True, False, NEVER)
-        self.fail(10.5, 18.0, evidence_date=9.8)
+        self.fail(10.5, 18.0, last_response_at=9.8)
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
     def test_a_short_run_proves_nothing(self) -> None:
-        """Peers have not been asked yet, and may have had answers all the while."""
-        self.fail(10.0, 10.0 + SHORTEST_OUTAGE_SECONDS - STEP_SECONDS)
+        """Peers have not been asked yet, and may have had responses all the time."""
+        self.fail(10.0, 10.0 + MIN_OUTAGE_SECONDS - STEP_SECONDS)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
-    def test_a_suspended_process_does_not_take_its_own_pause_for_an_outage(self) -> None:
-        """A call that was under way during a suspension times out on waking."""
+    def test_a_pause_of_this_process_is_no_outage(self) -> None:
+        """A call that was in progress during a suspension times out when the process resumes."""
         self.outages.record_failure(10.0, 14.0, False, True, NEVER)
         self.outages.record_failure(20.0, 24.0, False, True, NEVER)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
-    def test_a_process_that_started_in_the_outage_hears_of_its_length(self) -> None:
-        """Entries are restarted while the store is away. By their own few calls alone they
+    def test_a_process_that_started_in_the_outage_adopts_its_start_from_a_peer(self) -> None:
+        """Entries are restarted while the store is down. Based on their own few calls alone they
         would refuse all callers as soon as it is back."""
         self.fail(16.0, 18.0)
         self.outages.record_peer(10.0)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
-    def test_it_may_hear_of_the_outage_before_its_own_first_call_has_failed(self) -> None:
-        """A store that says nothing lets a call fail only after seconds."""
+    def test_a_peer_may_report_the_outage_before_the_first_call_has_failed(self) -> None:
+        """If the store does not respond at all, a call fails only after seconds."""
         self.outages.record_peer(10.0)
         self.outages.record_failure(16.0, 18.0, False, False, NEVER)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 16.0))
 
-    def test_a_second_run_that_proves_nothing_leaves_the_first_standing(self) -> None:
+    def test_a_short_second_run_does_not_replace_the_first_outage(self) -> None:
         self.fail(10.0, 18.0)
         self.outages.record_answer()
         self.fail(30.0, 31.0)
--- a/wasabidrum/decisions/token_allowance.py
+++ b/wasabidrum/decisions/token_allowance.py
@@ -1,62 +1,62 @@
-"""How many tokens a workspace may generate, where the files limit it.
+"""Limits how many tokens a workspace may generate, where the configuration sets a limit.
 
-Load pattern: a workspace with a limit asks for more than the limit, for minutes or by a burst
-at midnight. Without this the limit stands in the files and is not in force: what the others
-were promised of the engines goes to whoever asks most.
+Load pattern: a workspace requests more than its limit, for minutes or in a burst at midnight.
+Without this the configured limit would not be enforced, and the workspace with the most requests
+would get the engine capacity that was promised to the others.
 
-Each entry enforces its part, the limit divided by the entries in service, since the balancer
-spreads a workspace's requests evenly over them; nothing is shared between entries. While
-entries disagree about their number, a workspace gets a little more or less than its limit.
+Each entry enforces its share, the limit divided by the number of entries in service, because the
+load balancer distributes the requests of a workspace evenly over them. Entries share no state for
+this. While they disagree about their number, a workspace gets slightly more or less than its limit.
 """
 
 import dataclasses
 
 BURST_SECONDS = 5.0
-MOST_WORKSPACES = 10_000
+MAX_WORKSPACES = 10_000
 
 
 @dataclasses.dataclass(slots=True)
-class Level:
-    """The tokens that a workspace may take now, as of a moment."""
+class Bucket:
+    """The tokens available to a workspace at a given time; negative after overspending."""
 
     tokens: float
-    as_of: float
+    updated_at: float
 
 
 class TokenAllowance:
-    """A bucket of tokens for each workspace that has a limit."""
+    """One token bucket for each workspace that has a limit."""
 
-    __slots__ = ("_levels",)
+    __slots__ = ("_buckets",)
 
     def __init__(self) -> None:
-        self._levels: dict[str, Level] = {}
+        self._buckets: dict[str, Bucket] = {}
 
     def take(self, workspace: str, per_second: float, cost: float, now: float) -> float | None:
-        """Takes a request's expected cost from its workspace's allowance.
+        """Takes the expected cost of a request from the bucket of its workspace.
 
         Args:
-          per_second: What the workspace may generate at this entry, in tokens a second.
+          per_second: The limit of the workspace at this entry, in tokens per second.
 
         Returns:
-          None where it was taken, or the seconds until the allowance is above zero again.
+          None if the cost was taken, otherwise the seconds until the bucket is above zero again.
         """
-        level = self._levels.get(workspace)
-        if level is None:
-            # Workspaces come and go with the configuration; without a bound a daemon that
-            # lives for months would keep every name that ever was.
-            if len(self._levels) >= MOST_WORKSPACES:
-                self._levels.pop(next(iter(self._levels)))
-            level = self._levels[workspace] = Level(per_second * BURST_SECONDS, now)
-        earned = per_second * max(0.0, now - level.as_of)
-        level.tokens = min(per_second * BURST_SECONDS, level.tokens + earned)
-        level.as_of = now
-        if level.tokens <= 0.0:
-            return -level.tokens / per_second
-        level.tokens -= cost
+        bucket = self._buckets.get(workspace)
+        if bucket is None:
+            # Workspaces are added and removed with the configuration; without a limit a daemon
+            # that runs for months would keep every name it ever had.
+            if len(self._buckets) >= MAX_WORKSPACES:
+                self._buckets.pop(next(iter(self._buckets)))
+            bucket = self._buckets[workspace] = Bucket(per_second * BURST_SECONDS, now)
+        earned = per_second * max(0.0, now - bucket.updated_at)
+        bucket.tokens = min(per_second * BURST_SECONDS, bucket.tokens + earned)
+        bucket.updated_at = now
+        if bucket.tokens <= 0.0:
+            return -bucket.tokens / per_second
+        bucket.tokens -= cost
         return None
 
     def correct(self, workspace: str, expected: float, cost: float) -> None:
-        """Takes what a request that was let in did cost."""
-        level = self._levels.get(workspace)
-        if level is not None:
-            level.tokens += expected - cost
+        """Replaces the expected cost of an admitted request by its actual cost."""
+        bucket = self._buckets.get(workspace)
+        if bucket is not None:
+            bucket.tokens += expected - cost
--- a/wasabidrum/decisions/token_allowance_test.py
+++ b/wasabidrum/decisions/token_allowance_test.py
@@ -13,9 +13,9 @@
 
 
 class TokenAllowanceTest(unittest.TestCase):
-    """A limit holds over time, lets bursts through, and charges what was generated."""
+    """The limit holds over time, allows bursts, and charges only generated tokens."""
 
-    def test_more_than_the_limit_is_told_when_to_come_back(self) -> None:
+    def test_a_request_over_the_limit_gets_a_retry_time(self) -> None:
         allowance = TokenAllowance()
         self.assertIsNone(allowance.take("w", 10.0, 60.0, 0.0))
         self.assertAlmostEqual(allowance.take("w", 10.0, 60.0, 0.0), 1.0)
@@ -24,9 +24,9 @@
     def test_a_request_larger_than_the_burst_is_served(self) -> None:
         self.assertIsNone(TokenAllowance().take("w", 1.0, 10_000.0, 0.0))
 
-    def test_tokens_never_generated_are_given_back(self) -> None:
-        """A caller asks for a thousand tokens and gets ten. Charged for all, its workspace would
-        be refused for minutes although it stayed far below its limit."""
+    def test_tokens_that_were_not_generated_are_refunded(self) -> None:
+        """A caller requests a thousand tokens and gets ten. If all were charged, its workspace
+        would be refused for minutes although it stayed far below its limit."""
         allowance = TokenAllowance()
         self.assertIsNone(allowance.take("w", 10.0, 1000.0, 0.0))
         self.assertIsNotNone(allowance.take("w", 10.0, 10.0, 0.0))
@@ -35,7 +35,7 @@
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(STEPS)
-    def test_never_more_than_limit_burst_and_one_request(self, steps: list) -> None:
+    def test_usage_never_exceeds_limit_burst_and_one_request(self, steps: list) -> None:
         allowance = TokenAllowance()
         now = taken = largest = 0.0
         for pause, cost in steps:
