--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -55,7 +55,7 @@
         """Whether any attempt may have run."""
         return self.runs > 0
 
-    def take(self, end: AttemptEnd) -> None:
+    def record(self, end: AttemptEnd) -> None:
         """Records the end of an attempt."""
         if end is not AttemptEnd.NOT_SENT:
             self.sends += 1
--- a/wasabidrum/decisions/attempt_rule_test.py
+++ b/wasabidrum/decisions/attempt_rule_test.py
@@ -24,7 +24,7 @@
         for end in ends:
             if may_have_run:
                 self.assertFalse(history.may_go_on())
-            history.take(end)
+            history.record(end)
             may_have_run |= end not in PROVES_NOT_RUN
 
     @SETTINGS
@@ -36,16 +36,16 @@
         caller sends it again, and it runs twice."""
         history = AttemptHistory(idempotent, 2)
         for end in ends:
-            history.take(end)
+            history.record(end)
         proved = all(end in PROVES_NOT_RUN for end in ends)
         self.assertEqual(history.final_status(timed_out) == NOT_RUN_STATUS, proved)
 
     def test_an_idempotent_request_runs_at_most_max_runs_times(self) -> None:
         history = AttemptHistory(idempotent=True, max_runs=2)
-        history.take(AttemptEnd.LOST)
+        history.record(AttemptEnd.LOST)
         self.assertTrue(history.may_go_on())
-        history.take(AttemptEnd.REFUSED)
+        history.record(AttemptEnd.REFUSED)
         self.assertTrue(history.may_go_on())
-        history.take(AttemptEnd.FAILED)
+        history.record(AttemptEnd.FAILED)
         self.assertFalse(history.may_go_on())
         self.assertEqual(history.final_status(timed_out=True), TIMEOUT_STATUS)
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -104,7 +104,7 @@
                 return
             except AttemptError as error:
                 failure = error.code
-                self._history.take(error.end)
+                self._history.record(error.end)
                 self._note_end(placed, attempt, error)
                 self._tried |= {placed.endpoint.id}
                 hopeless = attempt.recalled is RecallReason.CALLER_LEAVING
