--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -62,7 +62,7 @@
         if end not in PROVES_NOT_RUN:
             self.runs += 1
 
-    def may_go_on(self) -> bool:
+    def allows_retry(self) -> bool:
         """Returns whether the ends so far allow an attempt at another endpoint."""
         if not self.may_have_run:
             return True
--- a/wasabidrum/decisions/attempt_rule_test.py
+++ b/wasabidrum/decisions/attempt_rule_test.py
@@ -23,7 +23,7 @@
         may_have_run = False
         for end in ends:
             if may_have_run:
-                self.assertFalse(history.may_go_on())
+                self.assertFalse(history.allows_retry())
             history.record(end)
             may_have_run |= end not in PROVES_NOT_RUN
 
@@ -43,9 +43,9 @@
     def test_an_idempotent_request_runs_at_most_max_runs_times(self) -> None:
         history = AttemptHistory(idempotent=True, max_runs=2)
         history.record(AttemptEnd.LOST)
-        self.assertTrue(history.may_go_on())
+        self.assertTrue(history.allows_retry())
         history.record(AttemptEnd.REFUSED)
-        self.assertTrue(history.may_go_on())
+        self.assertTrue(history.allows_retry())
         history.record(AttemptEnd.FAILED)
-        self.assertFalse(history.may_go_on())
+        self.assertFalse(history.allows_retry())
         self.assertEqual(history.final_status(timed_out=True), TIMEOUT_STATUS)
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -202,7 +202,7 @@
             self._reserved = None
 
     def _may_go_on(self) -> bool:
-        return self._history.may_go_on() and self._may_retry() and self._spend_retry()
+        return self._history.allows_retry() and self._may_retry() and self._spend_retry()
 
     def _may_retry(self) -> bool:
         now = asyncio.get_running_loop().time()
