--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -68,7 +68,7 @@
             return True
         return self._idempotent and self.runs < self._max_runs
 
-    def may_follow_a_run(self) -> bool:
+    def allows_retry_of_running(self) -> bool:
         """Returns whether a running attempt may be abandoned for one at another endpoint."""
         return self._idempotent and self.runs + 1 < self._max_runs
 
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -185,7 +185,7 @@
         in the same moment.
         """
         placer = self._gateway.placer
-        if not self._history.may_follow_a_run() or not self._may_retry():
+        if not self._history.allows_retry_of_running() or not self._may_retry():
             return False
         reserved = placer.placed_by(self._choose(self._tried | {placed.endpoint.id}, moved=True))
         if reserved is None or not self._spend_retry():
