--- a/wasabidrum/decisions/backoff.py
+++ b/wasabidrum/decisions/backoff.py
@@ -17,6 +17,6 @@
     return limit * (0.5 + 0.5 * rng.random())
 
 
-def spread(seconds: float, rng: random.Random) -> float:
+def add_jitter(seconds: float, rng: random.Random) -> float:
     """Returns a retry-after time with jitter, never shorter than the one given."""
     return seconds * (1.0 + 0.5 * rng.random())
--- a/wasabidrum/entry/request_costs.py
+++ b/wasabidrum/entry/request_costs.py
@@ -57,7 +57,7 @@
         seconds = self._allowance.take(item.workspace, per_second, ticket.cost, now)
         if seconds is None:
             return
-        retry = backoff.spread(max(seconds, SHORTEST_RETRY_SECONDS), self._rng)
+        retry = backoff.add_jitter(max(seconds, SHORTEST_RETRY_SECONDS), self._rng)
         raise CodedError(
             "workspace_limit", "this workspace is at its limit", 429, retry_after=retry
         )
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -299,7 +299,7 @@
         Args:
           alone: Whether only other suspects keep it from an endpoint.
         """
-        retry = backoff.spread(max(1.0, pool.probe_seconds(now)), self._rng)
+        retry = backoff.add_jitter(max(1.0, pool.probe_seconds(now)), self._rng)
         kind = NoPlaceAloneError if alone else CodedError
         return kind("no_endpoint", "no endpoint can answer now", 503, retry_after=retry)
 
@@ -309,5 +309,5 @@
             seconds = max(seconds, pool.probe_seconds(now))
         # Callers that are refused together would come back together.
         return refusal_error(
-            Refusal(refusal.code, refusal.reason, backoff.spread(seconds, self._rng))
+            Refusal(refusal.code, refusal.reason, backoff.add_jitter(seconds, self._rng))
         )
