--- a/wasabidrum/decisions/clock_gap_test.py
+++ b/wasabidrum/decisions/pause_detector_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .clock_gap import ClockGap
+from .pause_detector import ClockGap
 
 
 class ClockGapTest(unittest.TestCase):
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_asker.py
@@ -6,8 +6,8 @@
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance
-from ..decisions.clock_gap import ClockGap
 from ..decisions.member_table import MemberTable
+from ..decisions.pause_detector import ClockGap
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from . import peer_client
