--- a/wasabidrum/decisions/pause_detector.py
+++ b/wasabidrum/decisions/pause_detector.py
@@ -13,7 +13,7 @@
 VERIFICATION_EXPIRES_SECONDS = 3.0
 
 
-class ClockGap:
+class PauseDetector:
     """Detects pauses of the process from the gaps between calls of its event loop.
 
     Attributes:
--- a/wasabidrum/decisions/pause_detector_test.py
+++ b/wasabidrum/decisions/pause_detector_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .pause_detector import ClockGap
+from .pause_detector import PauseDetector
 
 
 class ClockGapTest(unittest.TestCase):
@@ -12,7 +12,7 @@
         """An instance is paused for ten seconds while ten revisions are published. Messages that
         arrived meanwhile look fresh when it resumes; acting on them, it would order an old version.
         """
-        gap = ClockGap(0.0)
+        gap = PauseDetector(0.0)
         gap.confirm(0.1, 0.2)
         self.assertTrue(gap.recently_verified(0.5))
         self.assertAlmostEqual(gap.observe(10.5), 10.0)
@@ -26,13 +26,13 @@
         self.assertTrue(gap.recently_verified(12.8))
 
     def test_any_first_call_after_a_pause_detects_it(self) -> None:
-        gap = ClockGap(0.0)
+        gap = PauseDetector(0.0)
         gap.confirm(0.0, 0.0)
         self.assertFalse(gap.recently_verified(2.5))
         self.assertEqual(gap.pauses, 1)
 
     def test_verification_expires_without_further_messages(self) -> None:
-        gap = ClockGap(0.0)
+        gap = PauseDetector(0.0)
         gap.confirm(0.0, 0.0)
         for turn in range(40):
             gap.observe(turn / 10)
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_asker.py
@@ -7,7 +7,7 @@
 from ..core.errors import CodedError
 from ..core.instance import Instance
 from ..decisions.member_table import MemberTable
-from ..decisions.pause_detector import ClockGap
+from ..decisions.pause_detector import PauseDetector
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from . import peer_client
@@ -27,7 +27,7 @@
         table: MemberTable,
         follower: ConfigurationFollower,
         fetcher: ClaimFetcher,
-        gap: ClockGap,
+        gap: PauseDetector,
         log: EventLog,
     ) -> None:
         self._table = table
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -15,7 +15,7 @@
 from ..decisions.member_record import instance_from
 from ..decisions.member_table import MemberTable
 from ..decisions.member_update import MemberState, MemberUpdate
-from ..decisions.pause_detector import ClockGap
+from ..decisions.pause_detector import PauseDetector
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.instance_directory import InstanceDirectory
@@ -63,7 +63,7 @@
         self._account = account
         self._log = log
         self._tasks = BackgroundTasks(on_failure)
-        self._gap = ClockGap(awake_seconds())
+        self._gap = PauseDetector(awake_seconds())
         self._noticed_seconds = 0.0
         self._inbound: set[PeerLink] = set()
         self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.lose)
