--- a/wasabidrum/decisions/pause_detector.py
+++ b/wasabidrum/decisions/pause_detector.py
@@ -45,7 +45,7 @@
         self.paused_seconds += length
         return length
 
-    def confirm(self, asked_at: float, now: float) -> None:
+    def record_reply(self, asked_at: float, now: float) -> None:
         """Records a reply that names no newer revision, to a request sent at a given time."""
         self.observe(now)
         # A reply to a request from before the pause may have been written before the pause too.
--- a/wasabidrum/decisions/pause_detector_test.py
+++ b/wasabidrum/decisions/pause_detector_test.py
@@ -13,27 +13,27 @@
         arrived meanwhile look fresh when it resumes; acting on them, it would order an old version.
         """
         gap = PauseDetector(0.0)
-        gap.confirm(0.1, 0.2)
+        gap.record_reply(0.1, 0.2)
         self.assertTrue(gap.recently_verified(0.5))
         self.assertAlmostEqual(gap.observe(10.5), 10.0)
         gap.hear(10.6)
         self.assertFalse(gap.recently_verified(10.7))
-        gap.confirm(0.4, 10.8)
+        gap.record_reply(0.4, 10.8)
         self.assertFalse(gap.recently_verified(10.8))
-        gap.confirm(10.8, 10.9)
+        gap.record_reply(10.8, 10.9)
         self.assertTrue(gap.recently_verified(11.0))
         gap.hear(11.9)
         self.assertTrue(gap.recently_verified(12.8))
 
     def test_any_first_call_after_a_pause_detects_it(self) -> None:
         gap = PauseDetector(0.0)
-        gap.confirm(0.0, 0.0)
+        gap.record_reply(0.0, 0.0)
         self.assertFalse(gap.recently_verified(2.5))
         self.assertEqual(gap.pauses, 1)
 
     def test_verification_expires_without_further_messages(self) -> None:
         gap = PauseDetector(0.0)
-        gap.confirm(0.0, 0.0)
+        gap.record_reply(0.0, 0.0)
         for turn in range(40):
             gap.observe(turn / 10)
         self.assertFalse(gap.recently_verified(4.0))
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_asker.py
@@ -48,7 +48,7 @@
         answered = sum(answers)
         await self._fetcher.wait()
         if answered and self._follower.revision >= self._follower.book.highest:
-            self._gap.confirm(asked_at, awake_seconds())
+            self._gap.record_reply(asked_at, awake_seconds())
         self._log.write(
             Event.PEERS_ASKED,
             asked=len(asked),
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -296,4 +296,4 @@
         self.wake_all()
 
     def _take_answer(self, asked_at: float) -> None:
-        self._gap.confirm(asked_at, awake_seconds())
+        self._gap.record_reply(asked_at, awake_seconds())
