--- a/wasabidrum/decisions/pause_detector.py
+++ b/wasabidrum/decisions/pause_detector.py
@@ -52,7 +52,7 @@
         if asked_at >= self._resumed_at:
             self._verified_at = max(self._verified_at, asked_at)
 
-    def hear(self, now: float) -> None:
+    def record_push(self, now: float) -> None:
         """Records an unsolicited message that names no newer revision.
 
         After a pause it may have been buffered in the socket and proves nothing. Such messages
--- a/wasabidrum/decisions/pause_detector_test.py
+++ b/wasabidrum/decisions/pause_detector_test.py
@@ -16,13 +16,13 @@
         gap.record_reply(0.1, 0.2)
         self.assertTrue(gap.recently_verified(0.5))
         self.assertAlmostEqual(gap.observe(10.5), 10.0)
-        gap.hear(10.6)
+        gap.record_push(10.6)
         self.assertFalse(gap.recently_verified(10.7))
         gap.record_reply(0.4, 10.8)
         self.assertFalse(gap.recently_verified(10.8))
         gap.record_reply(10.8, 10.9)
         self.assertTrue(gap.recently_verified(11.0))
-        gap.hear(11.9)
+        gap.record_push(11.9)
         self.assertTrue(gap.recently_verified(12.8))
 
     def test_any_first_call_after_a_pause_detects_it(self) -> None:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -181,7 +181,7 @@
             self.lists.take_claim(push.list_as_of, push.list_digest, status.host, status.peer_port)
         self._members.take_news(push.news, now)
         if status.revision <= self._follower.revision:
-            self._gap.hear(awake_seconds())
+            self._gap.record_push(awake_seconds())
 
     def report(self) -> ControlReport:
         """Returns how this daemon stands among the others."""
