--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -111,7 +111,7 @@
         now = asyncio.get_running_loop().time()
         lost, self.prompts = self.prompts, {}
         for task, prompt in lost.items():
-            self.record.take_lost(poison.fingerprint_of(prompt), now)
+            self.record.record_lost(poison.fingerprint_of(prompt), now)
             if task is not asyncio.current_task():
                 task.cancel()
         raise CodedError("engine_lost", "the engine died", 502)
--- a/wasabidrum/decisions/death_record.py
+++ b/wasabidrum/decisions/death_record.py
@@ -23,7 +23,7 @@
         self._crash = 0
         self._crashed_at = float("-inf")
 
-    def take_lost(self, fingerprint: str, now: float) -> None:
+    def record_lost(self, fingerprint: str, now: float) -> None:
         """Records a request that was running when its endpoint disconnected."""
         if now - self._crashed_at > SAME_CRASH_SECONDS:
             self._crash += 1
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -204,7 +204,7 @@
         second that a daemon has for control."""
         record = DeathRecord()
         for number in range(100):
-            record.take_lost(f"{number:016x}", number * 0.1)
+            record.record_lost(f"{number:016x}", number * 0.1)
         self.assertEqual(len(record.suspects(10.0)), MAX_REPORTED)
         self.assertEqual(record.suspects(10.0 + REPORTED_SECONDS), ())
 
--- a/wasabidrum/sidecar/call_handlers.py
+++ b/wasabidrum/sidecar/call_handlers.py
@@ -111,7 +111,7 @@
         if error.code != "peer_unreachable" or error.outcome is not Outcome.UNKNOWN:
             return error
         now = asyncio.get_running_loop().time()
-        self.sidecar.deaths.take_lost(poison.fingerprint_of(self._prompt), now)
+        self.sidecar.deaths.record_lost(poison.fingerprint_of(self._prompt), now)
         # A caller resends at once, maybe through another entry. Told only at the next beat,
         # that entry would let the request crash one endpoint more.
         self.sidecar.node.wake_all()
