--- a/wasabidrum/decisions/endpoint_book_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from ..core.listed_endpoint import ListedEndpoint
-from .endpoint_book import GRACE_SECONDS, STORE_FAILURE_SECONDS, EndpointBook
+from .endpoint_registry import GRACE_SECONDS, STORE_FAILURE_SECONDS, EndpointBook
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
 
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -22,7 +22,7 @@
 from ..core.manifest import manifest_of, root_of
 from ..core.published import PublishedConfiguration
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.endpoint_book import EndpointBook
+from ..decisions.endpoint_registry import EndpointBook
 from ..decisions.version_choice import VersionChoice
 from ..observe.event import Event
 from ..observe.event_log import EventLog
