--- a/wasabidrum/decisions/endpoint_registry.py
+++ b/wasabidrum/decisions/endpoint_registry.py
@@ -17,7 +17,7 @@
 STORE_FAILURE_SECONDS = 2.5
 
 
-class EndpointBook:
+class EndpointRegistry:
     """The registered endpoints, by id.
 
     Attributes:
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from ..core.listed_endpoint import ListedEndpoint
-from .endpoint_registry import GRACE_SECONDS, STORE_FAILURE_SECONDS, EndpointBook
+from .endpoint_registry import GRACE_SECONDS, STORE_FAILURE_SECONDS, EndpointRegistry
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
 
@@ -17,7 +17,7 @@
     return ListedEndpoint(name, "tally", "10.0.0.1", 80, "rift-a", **fields)
 
 
-def ids_of(registry: EndpointBook) -> set[str]:
+def ids_of(registry: EndpointRegistry) -> set[str]:
     """Returns the ids of all endpoints in use."""
     return {endpoint.id for endpoint in registry.endpoints}
 
@@ -26,7 +26,7 @@
     """Two registered endpoints."""
 
     def setUp(self) -> None:
-        self.registry = EndpointBook()
+        self.registry = EndpointRegistry()
         self.registry.take(make_endpoint("a"), 10)
         self.registry.take(make_endpoint("b"), 11)
 
@@ -88,7 +88,7 @@
         rng.shuffle(shuffled)
         results = []
         for order in (numbered, shuffled):
-            registry = EndpointBook()
+            registry = EndpointRegistry()
             for revision, (name, present) in order:
                 if present:
                     registry.take(make_endpoint(name), revision)
@@ -104,7 +104,7 @@
     """An endpoint that restarts under the same name."""
 
     def test_a_new_run_replaces_what_was_known(self) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         first = make_endpoint("a", started_at=1000, weights=2, whole=True)
         registry.take(first, 5)
         self.assertTrue(
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -6,7 +6,7 @@
 from ..core.placing_limit import PlacingLimit
 from ..core.published import EngineFigures, PublishedConfiguration
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.endpoint_registry import EndpointBook
+from ..decisions.endpoint_registry import EndpointRegistry
 from ..decisions.evidence_lease import EvidenceLease
 from ..decisions.route_table import RouteTable
 from ..decisions.store_outage import StoreOutages
@@ -48,7 +48,7 @@
         self._whole_after = 0
         self.revision = 0
         self.routes: RouteTable | None = None
-        self.endpoints = EndpointBook()
+        self.endpoints = EndpointRegistry()
         self.lease = EvidenceLease(bounds.revocation)
         self.outages = StoreOutages(bounds.settling)
 
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -22,7 +22,7 @@
 from ..core.manifest import manifest_of, root_of
 from ..core.published import PublishedConfiguration
 from ..decisions.chunk_plan import ChunkPlan
-from ..decisions.endpoint_registry import EndpointBook
+from ..decisions.endpoint_registry import EndpointRegistry
 from ..decisions.version_choice import VersionChoice
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -63,7 +63,7 @@
         """The configuration in force, or None before the first."""
 
     @property
-    def endpoints(self) -> EndpointBook:
+    def endpoints(self) -> EndpointRegistry:
         """The endpoints that are registered."""
 
     def newest_version(self, model: str) -> int:
