--- a/wasabidrum/decisions/endpoint_registry.py
+++ b/wasabidrum/decisions/endpoint_registry.py
@@ -42,7 +42,7 @@
         """Returns an endpoint, or None."""
         return self._endpoints.get(endpoint_id)
 
-    def record_trouble(self, now: float) -> None:
+    def record_store_failure(self, now: float) -> None:
         """Records that the store could not be reached until now."""
         self._store_failed_at = now
 
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -40,7 +40,7 @@
         """The store is down, and registrations lapse because they cannot be renewed. Applied at
         once, this would remove every endpoint and refuse every caller, until all endpoints have
         registered again two seconds later."""
-        self.registry.record_trouble(50.0)
+        self.registry.record_store_failure(50.0)
         self.assertEqual(self.registry.take_listed(set(), 50.1), [])
         self.assertEqual(ids_of(self.registry), {"a", "b"})
         self.registry.take(make_endpoint("a"), 20)
@@ -51,17 +51,17 @@
         """An endpoint announces that it is leaving, and its registration lapses during an outage.
         It will not register again; kept, it would get requests after its announcement."""
         self.registry.take(make_endpoint("a", leaving=True), 12)
-        self.registry.record_trouble(50.0)
+        self.registry.record_store_failure(50.0)
         self.assertTrue(self.registry.take_removal("a", 13, now=50.1))
 
     def test_a_removal_long_after_an_outage_is_applied_at_once(self) -> None:
-        self.registry.record_trouble(50.0)
+        self.registry.record_store_failure(50.0)
         self.assertTrue(self.registry.take_removal("a", 13, now=50.1 + STORE_FAILURE_SECONDS))
 
     def test_a_second_removal_does_not_extend_the_grace_period(self) -> None:
-        self.registry.record_trouble(50.0)
+        self.registry.record_store_failure(50.0)
         self.registry.take_listed({"b"}, 50.0)
-        self.registry.record_trouble(51.0)
+        self.registry.record_store_failure(51.0)
         self.registry.take_listed({"b"}, 51.0)
         self.assertEqual(self.registry.expire(50.0 + GRACE_SECONDS), ["a"])
 
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -97,7 +97,7 @@
             self._log.write(Event.STORE_BACK, failures=self._failures)
             self._failures = 0
             # What disappeared while nobody could be asked is judged from now on.
-            self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
+            self._state.endpoints.record_store_failure(asyncio.get_running_loop().time())
 
     async def _take_failure(self, error: CodedError) -> None:
         if error.code == "history_lost":
@@ -121,5 +121,5 @@
                 evidence_age=round(self._state.lease.age(awake_seconds()), 3),
             )
         self._failures += 1
-        self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
+        self._state.endpoints.record_store_failure(asyncio.get_running_loop().time())
         await asyncio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * self._failures))
