--- a/wasabidrum/decisions/endpoint_registry.py
+++ b/wasabidrum/decisions/endpoint_registry.py
@@ -59,7 +59,7 @@
         self.version += 1
         return True
 
-    def take_removal(self, endpoint_id: str, revision: int, now: float) -> bool:
+    def apply_removal(self, endpoint_id: str, revision: int, now: float) -> bool:
         """Applies a removed registration; returns whether the endpoint was removed at once."""
         if revision <= self._revisions.get(endpoint_id, 0):
             return False
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -33,7 +33,7 @@
     def test_an_endpoint_removed_while_the_store_works_is_removed_at_once(self) -> None:
         """An endpoint deregisters and exits. Kept in routing, it would get requests that nobody
         answers."""
-        self.assertTrue(self.registry.take_removal("a", 12, now=50.0))
+        self.assertTrue(self.registry.apply_removal("a", 12, now=50.0))
         self.assertEqual(ids_of(self.registry), {"b"})
 
     def test_registrations_that_lapse_in_an_outage_get_a_grace_period(self) -> None:
@@ -52,11 +52,11 @@
         It will not register again; kept, it would get requests after its announcement."""
         self.registry.take(make_endpoint("a", leaving=True), 12)
         self.registry.record_store_failure(50.0)
-        self.assertTrue(self.registry.take_removal("a", 13, now=50.1))
+        self.assertTrue(self.registry.apply_removal("a", 13, now=50.1))
 
     def test_a_removal_long_after_an_outage_is_applied_at_once(self) -> None:
         self.registry.record_store_failure(50.0)
-        self.assertTrue(self.registry.take_removal("a", 13, now=50.1 + STORE_FAILURE_SECONDS))
+        self.assertTrue(self.registry.apply_removal("a", 13, now=50.1 + STORE_FAILURE_SECONDS))
 
     def test_a_second_removal_does_not_extend_the_grace_period(self) -> None:
         self.registry.record_store_failure(50.0)
@@ -71,7 +71,7 @@
         self.registry.take(make_endpoint("a", leaving=True), 20)
         self.assertFalse(self.registry.take(make_endpoint("a"), 10))
         self.assertTrue(self.registry.get("a").leaving)
-        self.assertFalse(self.registry.take_removal("a", 15, now=99.0))
+        self.assertFalse(self.registry.apply_removal("a", 15, now=99.0))
 
     @SETTINGS
     @hypothesis.given(
@@ -93,7 +93,7 @@
                 if present:
                     registry.take(make_endpoint(name), revision)
                 else:
-                    registry.take_removal(name, revision, 100.0)
+                    registry.apply_removal(name, revision, 100.0)
             results.append(ids_of(registry))
         last = dict(changes)
         self.assertEqual(results[0], {name for name, present in last.items() if present})
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -232,7 +232,7 @@
 
     def _take_endpoint(self, endpoint_id: str, change: StoreChange, now: float) -> None:
         if change.value is None:
-            if self.endpoints.take_removal(endpoint_id, change.revision, now):
+            if self.endpoints.apply_removal(endpoint_id, change.revision, now):
                 self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="removed")
             return
         try:
