--- a/wasabidrum/decisions/endpoint_registry.py
+++ b/wasabidrum/decisions/endpoint_registry.py
@@ -66,7 +66,7 @@
         self._revisions[endpoint_id] = revision
         return self._handle_missing(endpoint_id, now)
 
-    def take_listed(self, listed: collections.abc.Collection[str], now: float) -> list[str]:
+    def apply_listing(self, listed: collections.abc.Collection[str], now: float) -> list[str]:
         """Applies the store's complete list of ids; returns those that were removed at once."""
         missing = [endpoint_id for endpoint_id in self._endpoints if endpoint_id not in listed]
         return [endpoint_id for endpoint_id in missing if self._handle_missing(endpoint_id, now)]
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -41,7 +41,7 @@
         once, this would remove every endpoint and refuse every caller, until all endpoints have
         registered again two seconds later."""
         self.registry.record_store_failure(50.0)
-        self.assertEqual(self.registry.take_listed(set(), 50.1), [])
+        self.assertEqual(self.registry.apply_listing(set(), 50.1), [])
         self.assertEqual(ids_of(self.registry), {"a", "b"})
         self.registry.take(make_endpoint("a"), 20)
         self.assertEqual(self.registry.expire(50.1 + GRACE_SECONDS), ["b"])
@@ -60,9 +60,9 @@
 
     def test_a_second_removal_does_not_extend_the_grace_period(self) -> None:
         self.registry.record_store_failure(50.0)
-        self.registry.take_listed({"b"}, 50.0)
+        self.registry.apply_listing({"b"}, 50.0)
         self.registry.record_store_failure(51.0)
-        self.registry.take_listed({"b"}, 51.0)
+        self.registry.apply_listing({"b"}, 51.0)
         self.assertEqual(self.registry.expire(50.0 + GRACE_SECONDS), ["a"])
 
     def test_an_older_revision_changes_nothing(self) -> None:
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -153,7 +153,7 @@
             for change in reading.changes
             if kind_of(change.key) is ItemKind.ENDPOINT
         }
-        for endpoint_id in self.endpoints.take_listed(listed, now):
+        for endpoint_id in self.endpoints.apply_listing(listed, now):
             self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="not listed")
         kept = {change.key for change in reading.changes}
         self._items = {key: item for key, item in self._items.items() if key in kept}
