--- a/wasabidrum/decisions/endpoint_registry.py
+++ b/wasabidrum/decisions/endpoint_registry.py
@@ -46,7 +46,7 @@
         """Records that the store could not be reached until now."""
         self._store_failed_at = now
 
-    def take(self, endpoint: ListedEndpoint, revision: int) -> bool:
+    def apply(self, endpoint: ListedEndpoint, revision: int) -> bool:
         """Applies a registration; returns whether it changed the endpoint."""
         if revision <= self._revisions.get(endpoint.id, 0):
             self._grace_ends_at.pop(endpoint.id, None)
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -27,8 +27,8 @@
 
     def setUp(self) -> None:
         self.registry = EndpointRegistry()
-        self.registry.take(make_endpoint("a"), 10)
-        self.registry.take(make_endpoint("b"), 11)
+        self.registry.apply(make_endpoint("a"), 10)
+        self.registry.apply(make_endpoint("b"), 11)
 
     def test_an_endpoint_removed_while_the_store_works_is_removed_at_once(self) -> None:
         """An endpoint deregisters and exits. Kept in routing, it would get requests that nobody
@@ -43,14 +43,14 @@
         self.registry.record_store_failure(50.0)
         self.assertEqual(self.registry.apply_listing(set(), 50.1), [])
         self.assertEqual(ids_of(self.registry), {"a", "b"})
-        self.registry.take(make_endpoint("a"), 20)
+        self.registry.apply(make_endpoint("a"), 20)
         self.assertEqual(self.registry.expire(50.1 + GRACE_SECONDS), ["b"])
         self.assertEqual(ids_of(self.registry), {"a"})
 
     def test_a_leaving_endpoint_gets_no_grace_period(self) -> None:
         """An endpoint announces that it is leaving, and its registration lapses during an outage.
         It will not register again; kept, it would get requests after its announcement."""
-        self.registry.take(make_endpoint("a", leaving=True), 12)
+        self.registry.apply(make_endpoint("a", leaving=True), 12)
         self.registry.record_store_failure(50.0)
         self.assertTrue(self.registry.apply_removal("a", 13, now=50.1))
 
@@ -68,8 +68,8 @@
     def test_an_older_revision_changes_nothing(self) -> None:
         """A stale response of the store shows an endpoint as ready that has since announced that
         it is leaving. Applied, it would give the endpoint requests again."""
-        self.registry.take(make_endpoint("a", leaving=True), 20)
-        self.assertFalse(self.registry.take(make_endpoint("a"), 10))
+        self.registry.apply(make_endpoint("a", leaving=True), 20)
+        self.assertFalse(self.registry.apply(make_endpoint("a"), 10))
         self.assertTrue(self.registry.get("a").leaving)
         self.assertFalse(self.registry.apply_removal("a", 15, now=99.0))
 
@@ -91,7 +91,7 @@
             registry = EndpointRegistry()
             for revision, (name, present) in order:
                 if present:
-                    registry.take(make_endpoint(name), revision)
+                    registry.apply(make_endpoint(name), revision)
                 else:
                     registry.apply_removal(name, revision, 100.0)
             results.append(ids_of(registry))
@@ -106,8 +106,8 @@
     def test_a_new_run_replaces_what_was_known(self) -> None:
         registry = EndpointRegistry()
         first = make_endpoint("a", started_at=1000, weights=2, whole=True)
-        registry.take(first, 5)
+        registry.apply(first, 5)
         self.assertTrue(
-            registry.take(msgspec.structs.replace(first, started_at=2000, weights=0), 6)
+            registry.apply(msgspec.structs.replace(first, started_at=2000, weights=0), 6)
         )
         self.assertEqual(registry.get("a").weights, 0)
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -244,7 +244,7 @@
                 Event.ENDPOINT_UNREADABLE, endpoint=endpoint_id, reason=str(error)[:300]
             )
             return
-        if self.endpoints.take(endpoint, change.revision):
+        if self.endpoints.apply(endpoint, change.revision):
             self._log.write(
                 Event.ENDPOINT_LISTED,
                 endpoint=endpoint_id,
