--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -10,7 +10,7 @@
 import dataclasses
 import random
 
-MEET_SECONDS = 2.0
+EXCHANGE_INTERVAL_SECONDS = 2.0
 ENTRY_EXPIRES_SECONDS = 20.0
 MAX_EXCHANGED_ENTRIES = 32
 
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -11,7 +11,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.entry_roster import MEET_SECONDS, EntryRoster, Place
+from ..decisions.entry_roster import EXCHANGE_INTERVAL_SECONDS, EntryRoster, Place
 from ..decisions.poison import PoisonGuard
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -158,7 +158,7 @@
                 reply = await self._call(address, entry_messages.MEET_PATH, self._meet(), Meet)
                 if reply is not None:
                     self._take_known(reply)
-            await asyncio.sleep(MEET_SECONDS * self._rng.uniform(0.7, 1.0))
+            await asyncio.sleep(EXCHANGE_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.0))
 
     def _meet(self) -> Meet:
         now = awake_seconds()
