--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -14,7 +14,7 @@
 ENTRY_EXPIRES_SECONDS = 20.0
 MAX_EXCHANGED_ENTRIES = 32
 
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,17 +38,17 @@
 
     __slots__ = ("_own", "_seeds", "_known", "_failed_at")
 
-    def __init__(self, own: Place, seeds: tuple[Place, ...]) -> None:
+    def __init__(self, own: HostPort, seeds: tuple[HostPort, ...]) -> None:
         self._own = own
         self._seeds = tuple(seed for seed in seeds if seed != own)
-        self._known: dict[Place, KnownEntry] = {}
-        self._failed_at: dict[Place, float] = {}
+        self._known: dict[HostPort, KnownEntry] = {}
+        self._failed_at: dict[HostPort, float] = {}
 
-    def take_seeds(self, seeds: tuple[Place, ...]) -> None:
+    def take_seeds(self, seeds: tuple[HostPort, ...]) -> None:
         """Replaces the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
-    def take(self, address: Place, heard_at: float, data_centre: str = "") -> None:
+    def take(self, address: HostPort, heard_at: float, data_centre: str = "") -> None:
         """Records when an entry was seen, by this process or by another entry."""
         if address == self._own:
             return
@@ -56,11 +56,11 @@
         latest = max(heard_at, before.heard_at)
         self._known[address] = KnownEntry(latest, data_centre or before.data_centre)
 
-    def record_failure(self, address: Place, now: float) -> None:
+    def record_failure(self, address: HostPort, now: float) -> None:
         """Records that an entry did not respond to this process."""
         self._failed_at[address] = now
 
-    def known(self, now: float) -> dict[Place, KnownEntry]:
+    def known(self, now: float) -> dict[HostPort, KnownEntry]:
         """Removes the entries that were not seen lately and returns the others."""
         expired = [
             a for a, known in self._known.items() if now - known.heard_at > ENTRY_EXPIRES_SECONDS
@@ -69,7 +69,7 @@
             del self._known[address]
         return self._known
 
-    def latest(self, now: float) -> list[tuple[Place, KnownEntry]]:
+    def latest(self, now: float) -> list[tuple[HostPort, KnownEntry]]:
         """Returns the entries to send in an exchange, the most recently seen first."""
         ranked = sorted(self.known(now).items(), key=lambda item: (-item[1].heard_at, item[0]))
         return ranked[:MAX_EXCHANGED_ENTRIES]
@@ -78,7 +78,7 @@
         """Returns the number of known entries, including this one."""
         return 1 + len(self.known(now))
 
-    def within(self, data_centre: str, now: float) -> list[Place]:
+    def within(self, data_centre: str, now: float) -> list[HostPort]:
         """Returns the entries of a data centre, in the same order at each of them.
 
         Args:
@@ -87,7 +87,7 @@
         others = [a for a, known in self.known(now).items() if known.data_centre == data_centre]
         return sorted([self._own, *others])
 
-    def choose(self, count: int, now: float, rng: random.Random) -> list[Place]:
+    def choose(self, count: int, now: float, rng: random.Random) -> list[HostPort]:
         """Returns entries to ask: first those that responded last time, then others and seeds."""
         recent = self.known(now)
         responsive = [
@@ -98,6 +98,6 @@
         missing = min(count - len(chosen), len(rest))
         return chosen + rng.sample(rest, missing)
 
-    def all_addresses(self, now: float) -> list[Place]:
+    def all_addresses(self, now: float) -> list[HostPort]:
         """Returns the addresses of all known entries and of the seeds."""
         return list(dict.fromkeys((*self.known(now), *self._seeds)))
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -11,7 +11,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.entry_roster import EXCHANGE_INTERVAL_SECONDS, EntryRoster, Place
+from ..decisions.entry_roster import EXCHANGE_INTERVAL_SECONDS, EntryRoster, HostPort
 from ..decisions.poison import PoisonGuard
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -56,7 +56,7 @@
         log: EventLog,
     ) -> None:
         listen = deployment.peers_listen
-        self._own: Place = (listen.host, listen.port)
+        self._own: HostPort = (listen.host, listen.port)
         self._data_centre = deployment.data_centre
         self._state = state
         self._guard = guard
@@ -75,11 +75,11 @@
         return self._roster.count(awake_seconds())
 
     @property
-    def own(self) -> Place:
+    def own(self) -> HostPort:
         """Where this entry listens for others, by which they know it."""
         return self._own
 
-    def nearby(self) -> list[Place]:
+    def nearby(self) -> list[HostPort]:
         """Returns the entries of this one's data centre, itself included, in an agreed order."""
         return self._roster.within(self._data_centre, awake_seconds())
 
@@ -195,7 +195,7 @@
         while not self._state.revision and awake_seconds() < ends:
             await asyncio.sleep(ASK_EVERY_SECONDS / 8)
 
-    async def _ask(self, address: Place) -> None:
+    async def _ask(self, address: HostPort) -> None:
         asked_at = awake_seconds()
         request = FetchChanges(self._state.revision)
         timeout = ASK_TIMEOUT_SECONDS if request.after else WHOLE_TIMEOUT_SECONDS
@@ -237,7 +237,7 @@
 
     async def _call(
         self,
-        address: Place,
+        address: HostPort,
         path: str,
         message: object,
         kind: type,
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -16,7 +16,7 @@
 from ..decisions.endpoint_health import Health, is_silent
 from ..decisions.endpoint_load import EndpointLoad
 from ..decisions.engine_forecast import pass_seconds
-from ..decisions.entry_roster import Place
+from ..decisions.entry_roster import HostPort
 from ..decisions.request_recall import is_stalled
 from ..decisions.retry_budget import RetryBudget
 from ..observe.event import Event
@@ -58,10 +58,10 @@
         """How many entries there are, this one included."""
 
     @property
-    def own(self) -> Place:
+    def own(self) -> HostPort:
         """This entry, as the others know it."""
 
-    def nearby(self) -> list[Place]:
+    def nearby(self) -> list[HostPort]:
         """Returns the entries of this one's data centre, in an order that all agree on."""
 
 
