--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -44,7 +44,7 @@
         self._known: dict[HostPort, KnownEntry] = {}
         self._failed_at: dict[HostPort, float] = {}
 
-    def take_seeds(self, seeds: tuple[HostPort, ...]) -> None:
+    def replace_seeds(self, seeds: tuple[HostPort, ...]) -> None:
         """Replaces the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -91,7 +91,7 @@
 
     def take_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Takes where some entries listen, by newer settings."""
-        self._roster.take_seeds(tuple((seed.host, seed.port) for seed in seeds))
+        self._roster.replace_seeds(tuple((seed.host, seed.port) for seed in seeds))
 
     async def start(self) -> None:
         """Listens and starts the tasks."""
