--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -48,7 +48,7 @@
         """Replaces the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
-    def take(self, address: HostPort, heard_at: float, data_centre: str = "") -> None:
+    def record_seen(self, address: HostPort, heard_at: float, data_centre: str = "") -> None:
         """Records when an entry was seen, by this process or by another entry."""
         if address == self._own:
             return
--- a/wasabidrum/decisions/entry_roster_test.py
+++ b/wasabidrum/decisions/entry_roster_test.py
@@ -28,13 +28,13 @@
         """An entry dies. If it were asked first each time, every request would run into its
         time-out while live entries could have responded."""
         dead, alive = others(2)
-        self.roster.take(dead, 1.0)
-        self.roster.take(alive, 1.0)
+        self.roster.record_seen(dead, 1.0)
+        self.roster.record_seen(alive, 1.0)
         self.roster.record_failure(dead, 2.0)
         self.assertEqual(self.roster.choose(1, 3.0, self.rng), [alive])
 
     def test_an_entry_that_none_sees_is_removed(self) -> None:
-        self.roster.take(others(1)[0], 1.0)
+        self.roster.record_seen(others(1)[0], 1.0)
         self.assertEqual(self.roster.count(2.0), 2)
         self.assertEqual(self.roster.count(1.1 + ENTRY_EXPIRES_SECONDS), 1)
 
@@ -48,11 +48,11 @@
             for address, roster in rosters.items():
                 for other in roster.choose(1, now, self.rng):
                     for sender, receiver in ((address, other), (other, address)):
-                        rosters[receiver].take(sender, now)
+                        rosters[receiver].record_seen(sender, now)
                         for address, known in rosters[sender].known(now).items():
-                            rosters[receiver].take(address, known.heard_at)
+                            rosters[receiver].record_seen(address, known.heard_at)
         self.assertEqual({roster.count(12.0) for roster in rosters.values()}, {12})
 
     def test_an_entry_never_asks_itself(self) -> None:
-        self.roster.take(OWN, 1.0)
+        self.roster.record_seen(OWN, 1.0)
         self.assertNotIn(OWN, self.roster.all_addresses(1.0))
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -171,7 +171,7 @@
     def _take_known(self, message: Meet) -> None:
         now = awake_seconds()
         for known in (message.own, *message.known):
-            self._roster.take((known.host, known.port), now - known.age, known.data_centre)
+            self._roster.record_seen((known.host, known.port), now - known.age, known.data_centre)
 
     async def _ask_for_ever(self) -> None:
         """Asks others for what the store does not tell this process."""
@@ -251,5 +251,5 @@
             self._roster.record_failure(address, awake_seconds())
             self._log.write(Event.PEER_SILENT, peer=f"{host}:{port}", reason=str(error)[:120])
             return None
-        self._roster.take(address, awake_seconds())
+        self._roster.record_seen(address, awake_seconds())
         return reply
