--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -22,11 +22,11 @@
     """Another entry.
 
     Attributes:
-      heard_at: When it was last seen by any entry.
+      seen_at: When it was last seen by any entry.
       data_centre: Its data centre; empty while unknown.
     """
 
-    heard_at: float
+    seen_at: float
     data_centre: str = ""
 
 
@@ -48,12 +48,12 @@
         """Replaces the seeds."""
         self._seeds = tuple(seed for seed in seeds if seed != self._own)
 
-    def record_seen(self, address: HostPort, heard_at: float, data_centre: str = "") -> None:
+    def record_seen(self, address: HostPort, seen_at: float, data_centre: str = "") -> None:
         """Records when an entry was seen, by this process or by another entry."""
         if address == self._own:
             return
         before = self._known.get(address, KnownEntry(float("-inf")))
-        latest = max(heard_at, before.heard_at)
+        latest = max(seen_at, before.seen_at)
         self._known[address] = KnownEntry(latest, data_centre or before.data_centre)
 
     def record_failure(self, address: HostPort, now: float) -> None:
@@ -63,7 +63,7 @@
     def known(self, now: float) -> dict[HostPort, KnownEntry]:
         """Removes the entries that were not seen lately and returns the others."""
         expired = [
-            a for a, known in self._known.items() if now - known.heard_at > ENTRY_EXPIRES_SECONDS
+            a for a, known in self._known.items() if now - known.seen_at > ENTRY_EXPIRES_SECONDS
         ]
         for address in expired:
             del self._known[address]
@@ -71,7 +71,7 @@
 
     def latest(self, now: float) -> list[tuple[HostPort, KnownEntry]]:
         """Returns the entries to send in an exchange, the most recently seen first."""
-        ranked = sorted(self.known(now).items(), key=lambda item: (-item[1].heard_at, item[0]))
+        ranked = sorted(self.known(now).items(), key=lambda item: (-item[1].seen_at, item[0]))
         return ranked[:MAX_EXCHANGED_ENTRIES]
 
     def count(self, now: float) -> int:
@@ -91,7 +91,7 @@
         """Returns entries to ask: first those that responded last time, then others and seeds."""
         recent = self.known(now)
         responsive = [
-            a for a in recent if self._failed_at.get(a, float("-inf")) < recent[a].heard_at
+            a for a in recent if self._failed_at.get(a, float("-inf")) < recent[a].seen_at
         ]
         chosen = rng.sample(responsive, min(count, len(responsive)))
         rest = [a for a in dict.fromkeys((*recent, *self._seeds)) if a not in chosen]
--- a/wasabidrum/decisions/entry_roster_test.py
+++ b/wasabidrum/decisions/entry_roster_test.py
@@ -50,7 +50,7 @@
                     for sender, receiver in ((address, other), (other, address)):
                         rosters[receiver].record_seen(sender, now)
                         for address, known in rosters[sender].known(now).items():
-                            rosters[receiver].record_seen(address, known.heard_at)
+                            rosters[receiver].record_seen(address, known.seen_at)
         self.assertEqual({roster.count(12.0) for roster in rosters.values()}, {12})
 
     def test_an_entry_never_asks_itself(self) -> None:
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -163,7 +163,7 @@
     def _meet(self) -> Meet:
         now = awake_seconds()
         addresses = tuple(
-            EntryAddress(host, port, now - known.heard_at, known.data_centre)
+            EntryAddress(host, port, now - known.seen_at, known.data_centre)
             for (host, port), known in self._roster.latest(now)
         )
         return Meet(EntryAddress(*self._own, 0.0, self._data_centre), addresses)
