--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -69,7 +69,7 @@
             del self._known[address]
         return self._known
 
-    def latest(self, now: float) -> list[tuple[HostPort, KnownEntry]]:
+    def most_recent(self, now: float) -> list[tuple[HostPort, KnownEntry]]:
         """Returns the entries to send in an exchange, the most recently seen first."""
         ranked = sorted(self.known(now).items(), key=lambda item: (-item[1].seen_at, item[0]))
         return ranked[:MAX_EXCHANGED_ENTRIES]
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -164,7 +164,7 @@
         now = awake_seconds()
         addresses = tuple(
             EntryAddress(host, port, now - known.seen_at, known.data_centre)
-            for (host, port), known in self._roster.latest(now)
+            for (host, port), known in self._roster.most_recent(now)
         )
         return Meet(EntryAddress(*self._own, 0.0, self._data_centre), addresses)
 
