--- a/wasabidrum/decisions/entry_roster.py
+++ b/wasabidrum/decisions/entry_roster.py
@@ -78,7 +78,7 @@
         """Returns the number of known entries, including this one."""
         return 1 + len(self.known(now))
 
-    def within(self, data_centre: str, now: float) -> list[HostPort]:
+    def in_data_centre(self, data_centre: str, now: float) -> list[HostPort]:
         """Returns the entries of a data centre, in the same order at each of them.
 
         Args:
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -81,7 +81,7 @@
 
     def nearby(self) -> list[HostPort]:
         """Returns the entries of this one's data centre, itself included, in an agreed order."""
-        return self._roster.within(self._data_centre, awake_seconds())
+        return self._roster.in_data_centre(self._data_centre, awake_seconds())
 
     def data_centres(self) -> dict[str, str]:
         """Returns the data centres of all entries by their host, this one included."""
