--- a/wasabidrum/decisions/evidence_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .evidence_lease import (
+from .configuration_lease import (
     MARGIN_SECONDS,
     PROMPT_SECONDS,
     EvidenceLease,
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -6,8 +6,8 @@
 from ..core.placing_limit import PlacingLimit
 from ..core.published import EngineFigures, PublishedConfiguration
 from ..core.store_change import StoreChange, StoreReading
+from ..decisions.configuration_lease import EvidenceLease
 from ..decisions.endpoint_registry import EndpointRegistry
-from ..decisions.evidence_lease import EvidenceLease
 from ..decisions.route_table import RouteTable
 from ..decisions.store_outage import StoreOutages
 from ..decisions.version_floor import VersionFloor
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -4,7 +4,7 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.evidence_lease import PROMPT_SECONDS, prompt_after, quiet_until
+from ..decisions.configuration_lease import PROMPT_SECONDS, prompt_after, quiet_until
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.store_client import StoreClient, Watched
