--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -16,7 +16,7 @@
 PROMPT_SECONDS = 0.1
 
 
-class EvidenceLease:
+class ConfigurationLease:
     """The time at which the configuration in force was last known to be the newest.
 
     All times are of a clock that keeps counting while the instance is suspended.
--- a/wasabidrum/decisions/configuration_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -5,7 +5,7 @@
 from .configuration_lease import (
     MARGIN_SECONDS,
     PROMPT_SECONDS,
-    EvidenceLease,
+    ConfigurationLease,
     prompt_after,
     quiet_until,
 )
@@ -18,7 +18,7 @@
         """A key is revoked while an entry cannot reach the store. Without a lease its holder would
         be served by the old configuration for as long as the outage lasts. The lease ends before
         the bound, even if the entry receives older responses meanwhile."""
-        lease = EvidenceLease(5.0)
+        lease = ConfigurationLease(5.0)
         lease.renew(100.0)
         revoked_at = 100.001
         lease.renew(99.0)
@@ -29,7 +29,7 @@
         """The store responds slowly, and a key is revoked while the response is in transit. A
         lease renewed from the response would cover a time that the response says nothing about,
         and the key would be accepted for that much too long."""
-        lease = EvidenceLease(5.0)
+        lease = ConfigurationLease(5.0)
         asked_at, answered_at = 100.0, 103.0
         lease.renew(asked_at)
         self.assertFalse(lease.holds(answered_at + 2.0))
@@ -43,11 +43,11 @@
         self.assertEqual(quiet_until(100.0, 109.0, 1.2, paused=True), 100.0)
 
     def test_the_lease_is_invalid_before_the_first_response(self) -> None:
-        self.assertFalse(EvidenceLease(5.0).holds(0.0))
-        self.assertFalse(EvidenceLease(5.0).is_ready(0.0))
+        self.assertFalse(ConfigurationLease(5.0).holds(0.0))
+        self.assertFalse(ConfigurationLease(5.0).is_ready(0.0))
 
     def test_readiness_ends_before_keys_are_refused(self) -> None:
-        lease = EvidenceLease(5.0)
+        lease = ConfigurationLease(5.0)
         lease.renew(100.0)
         self.assertTrue(lease.is_ready(102.0))
         self.assertFalse(lease.is_ready(104.0))
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -6,7 +6,7 @@
 from ..core.placing_limit import PlacingLimit
 from ..core.published import EngineFigures, PublishedConfiguration
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.configuration_lease import EvidenceLease
+from ..decisions.configuration_lease import ConfigurationLease
 from ..decisions.endpoint_registry import EndpointRegistry
 from ..decisions.route_table import RouteTable
 from ..decisions.store_outage import StoreOutages
@@ -49,7 +49,7 @@
         self.revision = 0
         self.routes: RouteTable | None = None
         self.endpoints = EndpointRegistry()
-        self.lease = EvidenceLease(bounds.revocation)
+        self.lease = ConfigurationLease(bounds.revocation)
         self.outages = StoreOutages(bounds.settling)
 
     @property
