--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -34,7 +34,7 @@
         self._confirmed_at = float("-inf")
 
     @property
-    def dated(self) -> float:
+    def confirmed_at(self) -> float:
         """When the configuration was last known to be the newest; minus infinity if never."""
         return self._confirmed_at
 
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -169,7 +169,7 @@
         elif kind is ItemKind.CONFIGURATION and change.value is not None:
             self._take_configuration(change)
         elif kind is ItemKind.VERSION and change.value is not None:
-            self._take_version(change, max(after, self.lease.dated))
+            self._take_version(change, max(after, self.lease.confirmed_at))
 
     def tick(self, now: float) -> None:
         """Ends what only time ends."""
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -112,7 +112,7 @@
                 awake_seconds(),
                 refused,
                 self._held_up,
-                self._state.lease.dated,
+                self._state.lease.confirmed_at,
             )
         if not self._failures:
             self._log.write(
