--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -376,7 +376,7 @@
         bound no key passes, good or bad, and the caller is told to come back."""
         self.fleet.store.fault = "hang"
         lease = self.gateway.state.lease
-        await self.fleet.wait_until(lambda: not lease.holds(awake_seconds()), 8.0)
+        await self.fleet.wait_until(lambda: not lease.is_valid(awake_seconds()), 8.0)
         self.assertFalse(self.gateway.ready)
         reply = await self.fleet.ask(0, "tally", "safe", "r1", KEY)
         self.assertEqual(reply.status, 503)
--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -46,7 +46,7 @@
         """Returns the seconds since the configuration was last known to be the newest."""
         return now - self._confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Returns whether keys may still be checked against the configuration in force."""
         return self.age(now) <= self._bound - MARGIN_SECONDS
 
--- a/wasabidrum/decisions/configuration_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -22,8 +22,8 @@
         lease.renew(100.0)
         revoked_at = 100.001
         lease.renew(99.0)
-        self.assertTrue(lease.holds(100.0 + 5.0 - MARGIN_SECONDS))
-        self.assertFalse(lease.holds(revoked_at + 5.0))
+        self.assertTrue(lease.is_valid(100.0 + 5.0 - MARGIN_SECONDS))
+        self.assertFalse(lease.is_valid(revoked_at + 5.0))
 
     def test_the_lease_is_renewed_from_the_time_of_the_request(self) -> None:
         """The store responds slowly, and a key is revoked while the response is in transit. A
@@ -32,7 +32,7 @@
         lease = ConfigurationLease(5.0)
         asked_at, answered_at = 100.0, 103.0
         lease.renew(asked_at)
-        self.assertFalse(lease.holds(answered_at + 2.0))
+        self.assertFalse(lease.is_valid(answered_at + 2.0))
 
     def test_a_watch_without_changes_dates_those_of_the_next_watch(self) -> None:
         """Dated by the request of the previous watch, a version would apply one wait too early."""
@@ -43,7 +43,7 @@
         self.assertEqual(quiet_until(100.0, 109.0, 1.2, paused=True), 100.0)
 
     def test_the_lease_is_invalid_before_the_first_response(self) -> None:
-        self.assertFalse(ConfigurationLease(5.0).holds(0.0))
+        self.assertFalse(ConfigurationLease(5.0).is_valid(0.0))
         self.assertFalse(ConfigurationLease(5.0).is_ready(0.0))
 
     def test_readiness_ends_before_keys_are_refused(self) -> None:
@@ -51,7 +51,7 @@
         lease.renew(100.0)
         self.assertTrue(lease.is_ready(102.0))
         self.assertFalse(lease.is_ready(104.0))
-        self.assertTrue(lease.holds(104.0))
+        self.assertTrue(lease.is_valid(104.0))
 
 
 class PromptAfterTest(unittest.TestCase):
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -157,7 +157,7 @@
         call, placed = self._call, self._placed
         # Looked at again just before the request leaves: it may have waited for a connection,
         # or this process may have slept, since its key and its weights were judged.
-        if call.workspace and not self._gateway.state.lease.holds(awake_seconds()):
+        if call.workspace and not self._gateway.state.lease.is_valid(awake_seconds()):
             raise AttemptError(AttemptEnd.NOT_SENT, "not_ready")
         if not self._gateway.attempts.may_begin(placed):
             self._recalled = RecallReason.WEIGHTS_OVERDUE
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -107,7 +107,7 @@
         if routes is None:
             raise not_ready("no configuration yet")
         now = awake_seconds()
-        fresh = state.lease.holds(now)
+        fresh = state.lease.is_valid(now)
         self.note(evidence_age=round(state.lease.age(now), 3))
         route = routes.find(head.host, head.path)
         if route is None:
