--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -13,7 +13,7 @@
 
 MARGIN_SECONDS = 0.25
 READY_FRACTION = 0.6
-PROMPT_SECONDS = 0.1
+REPLY_TOLERANCE_SECONDS = 0.1
 
 
 class ConfigurationLease:
@@ -83,6 +83,6 @@
       paused: Whether this process was paused between request and response.
     """
     waited = answered_at - asked_at
-    if not paused and PROMPT_SECONDS <= waited <= wait + PROMPT_SECONDS:
-        return answered_at - PROMPT_SECONDS
+    if not paused and REPLY_TOLERANCE_SECONDS <= waited <= wait + REPLY_TOLERANCE_SECONDS:
+        return answered_at - REPLY_TOLERANCE_SECONDS
     return float("-inf")
--- a/wasabidrum/decisions/configuration_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -4,7 +4,7 @@
 
 from .configuration_lease import (
     MARGIN_SECONDS,
-    PROMPT_SECONDS,
+    REPLY_TOLERANCE_SECONDS,
     ConfigurationLease,
     prompt_after,
     quiet_until,
@@ -58,7 +58,7 @@
     """The earliest time of a change from a request that the store was to hold for 1.2 s."""
 
     def test_a_response_during_the_wait_dates_its_changes(self) -> None:
-        self.assertEqual(prompt_after(100.0, 100.7, 1.2, False), 100.7 - PROMPT_SECONDS)
+        self.assertEqual(prompt_after(100.0, 100.7, 1.2, False), 100.7 - REPLY_TOLERANCE_SECONDS)
 
     def test_an_immediate_response_dates_nothing(self) -> None:
         """A change is made between two requests. The next request is answered at once, and the
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -4,7 +4,7 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.configuration_lease import PROMPT_SECONDS, prompt_after, quiet_until
+from ..decisions.configuration_lease import REPLY_TOLERANCE_SECONDS, prompt_after, quiet_until
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.store_client import StoreClient, Watched
@@ -62,7 +62,7 @@
 
     def _note_standstill(self) -> None:
         # The tick is late by as much as the process was suspended, or busy with something else.
-        if awake_seconds() - self._ticked_at > TICK_SECONDS + PROMPT_SECONDS:
+        if awake_seconds() - self._ticked_at > TICK_SECONDS + REPLY_TOLERANCE_SECONDS:
             self._held_up = True
 
     async def _step(self) -> None:
