--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -71,7 +71,7 @@
     return asked_at + wait if waited >= wait and not paused else asked_at
 
 
-def prompt_after(asked_at: float, answered_at: float, wait: float, paused: bool) -> float:
+def earliest_change_at(asked_at: float, answered_at: float, wait: float, paused: bool) -> float:
     """Returns a time before which the changes in a response were not made, or minus infinity.
 
     The store responds to a waiting request as soon as something changes. An immediate response
--- a/wasabidrum/decisions/configuration_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -6,7 +6,7 @@
     MARGIN_SECONDS,
     REPLY_TOLERANCE_SECONDS,
     ConfigurationLease,
-    prompt_after,
+    earliest_change_at,
     quiet_until,
 )
 
@@ -58,19 +58,21 @@
     """The earliest time of a change from a request that the store was to hold for 1.2 s."""
 
     def test_a_response_during_the_wait_dates_its_changes(self) -> None:
-        self.assertEqual(prompt_after(100.0, 100.7, 1.2, False), 100.7 - REPLY_TOLERANCE_SECONDS)
+        self.assertEqual(
+            earliest_change_at(100.0, 100.7, 1.2, False), 100.7 - REPLY_TOLERANCE_SECONDS
+        )
 
     def test_an_immediate_response_dates_nothing(self) -> None:
         """A change is made between two requests. The next request is answered at once, and the
         change may be as old as the time between them."""
-        self.assertEqual(prompt_after(100.0, 100.01, 1.2, False), float("-inf"))
+        self.assertEqual(earliest_change_at(100.0, 100.01, 1.2, False), float("-inf"))
 
     def test_a_response_later_than_the_wait_dates_nothing(self) -> None:
         """The process is paused while a response waits in its socket. Dated by when it was read,
         the change would appear newer than it is by the length of the pause."""
-        self.assertEqual(prompt_after(100.0, 104.5, 1.2, False), float("-inf"))
+        self.assertEqual(earliest_change_at(100.0, 104.5, 1.2, False), float("-inf"))
 
     def test_a_response_read_after_a_short_pause_dates_nothing(self) -> None:
         """The process is paused for less than the wait. The change was made before or during the
         pause; the duration alone does not show that, only the detected pause does."""
-        self.assertEqual(prompt_after(100.0, 101.05, 1.2, True), float("-inf"))
+        self.assertEqual(earliest_change_at(100.0, 101.05, 1.2, True), float("-inf"))
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -4,7 +4,7 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.configuration_lease import REPLY_TOLERANCE_SECONDS, prompt_after, quiet_until
+from ..decisions.configuration_lease import REPLY_TOLERANCE_SECONDS, earliest_change_at, quiet_until
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.store_client import StoreClient, Watched
@@ -81,7 +81,7 @@
             self._take_answer()
             self._note_standstill()
             answered_at = awake_seconds()
-            after = prompt_after(asked_at, answered_at, WATCH_SECONDS, self._held_up)
+            after = earliest_change_at(asked_at, answered_at, WATCH_SECONDS, self._held_up)
             after = max(after, self._quiet_until)
             state.take_changes(reading, asyncio.get_running_loop().time(), after)
             self._quiet_until = asked_at
