--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -55,7 +55,7 @@
         return self.age(now) <= self._bound * READY_FRACTION
 
 
-def quiet_until(asked_at: float, answered_at: float, wait: float, paused: bool) -> float:
+def unchanged_until(asked_at: float, answered_at: float, wait: float, paused: bool) -> float:
     """Returns a time until which nothing had changed, for a watch that ended without changes.
 
     The store holds the request for the whole wait, which starts after the request was sent. Dated
--- a/wasabidrum/decisions/configuration_lease_test.py
+++ b/wasabidrum/decisions/configuration_lease_test.py
@@ -7,7 +7,7 @@
     REPLY_TOLERANCE_SECONDS,
     ConfigurationLease,
     earliest_change_at,
-    quiet_until,
+    unchanged_until,
 )
 
 
@@ -36,11 +36,11 @@
 
     def test_a_watch_without_changes_dates_those_of_the_next_watch(self) -> None:
         """Dated by the request of the previous watch, a version would apply one wait too early."""
-        self.assertEqual(quiet_until(100.0, 101.21, 1.2, paused=False), 101.2)
+        self.assertEqual(unchanged_until(100.0, 101.21, 1.2, paused=False), 101.2)
 
     def test_a_watch_that_ended_early_or_was_read_late_dates_by_its_request(self) -> None:
-        self.assertEqual(quiet_until(100.0, 100.7, 1.2, paused=False), 100.0)
-        self.assertEqual(quiet_until(100.0, 109.0, 1.2, paused=True), 100.0)
+        self.assertEqual(unchanged_until(100.0, 100.7, 1.2, paused=False), 100.0)
+        self.assertEqual(unchanged_until(100.0, 109.0, 1.2, paused=True), 100.0)
 
     def test_the_lease_is_invalid_before_the_first_response(self) -> None:
         self.assertFalse(ConfigurationLease(5.0).is_valid(0.0))
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -4,7 +4,11 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.configuration_lease import REPLY_TOLERANCE_SECONDS, earliest_change_at, quiet_until
+from ..decisions.configuration_lease import (
+    REPLY_TOLERANCE_SECONDS,
+    earliest_change_at,
+    unchanged_until,
+)
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.store_client import StoreClient, Watched
@@ -86,7 +90,9 @@
             state.take_changes(reading, asyncio.get_running_loop().time(), after)
             self._quiet_until = asked_at
             if not reading.changes:
-                self._quiet_until = quiet_until(asked_at, answered_at, WATCH_SECONDS, self._held_up)
+                self._quiet_until = unchanged_until(
+                    asked_at, answered_at, WATCH_SECONDS, self._held_up
+                )
         state.lease.renew(asked_at)
         if reading.changes:
             await asyncio.sleep(GATHER_SECONDS)
