--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -4,8 +4,8 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.keyed_clock import KeyedClock
 from ..decisions.keyed_key import KeyedKey, make_key
+from ..decisions.uptime_estimator import KeyedClock
 from .endpoint_table import EndpointTable, EndpointView
 
 CALLER_KEY_SECONDS = 300.0
