--- a/wasabidrum/decisions/uptime_estimator.py
+++ b/wasabidrum/decisions/uptime_estimator.py
@@ -8,7 +8,7 @@
 WINDOW_SECONDS = 30.0
 
 
-class KeyedClock:
+class UptimeEstimator:
     """The largest recent difference between a sidecar's uptime and this process's clock.
 
     Covers the current and the previous window.
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -5,7 +5,7 @@
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
 from ..decisions.keyed_key import KeyedKey, make_key
-from ..decisions.uptime_estimator import KeyedClock
+from ..decisions.uptime_estimator import UptimeEstimator
 from .endpoint_table import EndpointTable, EndpointView
 
 CALLER_KEY_SECONDS = 300.0
@@ -20,7 +20,7 @@
     def __init__(self, table: EndpointTable) -> None:
         self._table = table
         # By endpoint name, so that replaced incarnations do not pile up.
-        self._clocks: dict[str, tuple[str, KeyedClock]] = {}
+        self._clocks: dict[str, tuple[str, UptimeEstimator]] = {}
         self._random = random.Random()
 
     def issue(self, service: str, lifetime: float = CALLER_KEY_SECONDS) -> KeyedKey:
@@ -60,7 +60,7 @@
             return None
         known = self._clocks.get(status.name)
         if known is None or known[0] != incarnation:
-            known = (incarnation, KeyedClock(status.uptime, view.told_at))
+            known = (incarnation, UptimeEstimator(status.uptime, view.told_at))
             self._clocks[status.name] = known
         known[1].take(status.uptime, view.told_at)
         return known[1].uptime(awake_seconds())
