--- a/wasabidrum/decisions/uptime_estimator.py
+++ b/wasabidrum/decisions/uptime_estimator.py
@@ -20,7 +20,7 @@
         self._current = self._previous = uptime - received_at
         self._window_ends_at = received_at + WINDOW_SECONDS
 
-    def take(self, uptime: float, received_at: float) -> None:
+    def record(self, uptime: float, received_at: float) -> None:
         """Records the uptime in a status and the time at which it arrived, in seconds."""
         difference = uptime - received_at
         if received_at >= self._window_ends_at:
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -62,5 +62,5 @@
         if known is None or known[0] != incarnation:
             known = (incarnation, UptimeEstimator(status.uptime, view.told_at))
             self._clocks[status.name] = known
-        known[1].take(status.uptime, view.told_at)
+        known[1].record(status.uptime, view.told_at)
         return known[1].uptime(awake_seconds())
