--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -13,7 +13,7 @@
 import sys
 import tracemalloc
 
-from wasabidrum.decisions.keyed_key import make_key
+from wasabidrum.decisions.idempotency_key import make_key
 from wasabidrum.decisions.keyed_ledger import make_ledger
 from wasabidrum.decisions.keyed_record import KeptAnswer
 
--- a/wasabidrum/decisions/keyed_ledger.py
+++ b/wasabidrum/decisions/keyed_ledger.py
@@ -9,7 +9,7 @@
 import heapq
 import math
 
-from .keyed_key import KeyedKey
+from .idempotency_key import KeyedKey
 from .keyed_record import IdempotencyRecord, KeptAnswer, KeyState
 from .keyed_verdict import KeyedVerdict, Verdict
 
--- a/wasabidrum/decisions/keyed_ledger_test.py
+++ b/wasabidrum/decisions/keyed_ledger_test.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import stateful, strategies
 
-from .keyed_key import MAX_KEY_LENGTH, KeyedKey, make_key, parse_key
+from .idempotency_key import MAX_KEY_LENGTH, KeyedKey, make_key, parse_key
 from .keyed_ledger import KeyedLedger, make_ledger
 from .keyed_record import KeptAnswer
 from .keyed_verdict import Verdict
--- a/wasabidrum/entry/key_handler.py
+++ b/wasabidrum/entry/key_handler.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..core.errors import CodedError
-from ..decisions.keyed_key import LONGEST_LIFETIME_SECONDS
+from ..decisions.idempotency_key import LONGEST_LIFETIME_SECONDS
 from ..observe.event import Event
 from ..wire import headers
 from .caller_handler import CallerHandler
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -4,7 +4,7 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.keyed_key import KeyedKey, make_key
+from ..decisions.idempotency_key import KeyedKey, make_key
 from ..decisions.uptime_estimator import UptimeEstimator
 from .endpoint_table import EndpointTable, EndpointView
 
--- a/wasabidrum/entry/key_never_runs.py
+++ b/wasabidrum/entry/key_never_runs.py
@@ -2,7 +2,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import parse_key
+from ..decisions.idempotency_key import parse_key
 
 
 class KeyNeverRunsError(CodedError):
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -9,7 +9,7 @@
 from ..core.errors import CodedError
 from ..core.fleet import Fleet, ServiceCall
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey, parse_key
+from ..decisions.idempotency_key import KeyedKey, parse_key
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from ..observe.event_log import EventLog
--- a/wasabidrum/entry/service_exchange.py
+++ b/wasabidrum/entry/service_exchange.py
@@ -7,7 +7,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey
+from ..decisions.idempotency_key import KeyedKey
 from ..endpoints.service_reply import ServiceReply
 from ..outcomes.call_digest import digest_answer, digest_call
 from ..wire import headers, http_client
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -7,7 +7,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey
+from ..decisions.idempotency_key import KeyedKey
 from ..decisions.keyed_ledger import KeyedLedger, identify
 from ..decisions.keyed_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
--- a/wasabidrum/sidecar/keyed_calls_test.py
+++ b/wasabidrum/sidecar/keyed_calls_test.py
@@ -9,7 +9,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey, make_key
+from ..decisions.idempotency_key import KeyedKey, make_key
 from ..decisions.keyed_ledger import make_ledger
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event_log import EventLog
--- a/wasabidrum/sidecar/service_attempt.py
+++ b/wasabidrum/sidecar/service_attempt.py
@@ -7,7 +7,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey, parse_key
+from ..decisions.idempotency_key import KeyedKey, parse_key
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
 
