--- a/wasabidrum/decisions/idempotency_key.py
+++ b/wasabidrum/decisions/idempotency_key.py
@@ -18,7 +18,7 @@
 )
 
 
-class KeyedKey(msgspec.Struct, frozen=True):
+class IdempotencyKey(msgspec.Struct, frozen=True):
     """An idempotency key.
 
     Attributes:
@@ -50,7 +50,7 @@
         return f"wk1.{self.incarnation}.{times}.{self.nonce}.{self.endpoint}"
 
 
-def make_key(endpoint: str, incarnation: str, uptime: float, lifetime: float) -> KeyedKey:
+def make_key(endpoint: str, incarnation: str, uptime: float, lifetime: float) -> IdempotencyKey:
     """Returns a new key.
 
     Args:
@@ -59,10 +59,10 @@
     """
     lifetime = min(max(lifetime, 0.001), LONGEST_LIFETIME_SECONDS)
     times = (max(0, int(uptime * 1000)), max(1, int(lifetime * 1000)))
-    return KeyedKey(endpoint, incarnation, *times, secrets.token_hex(12))
+    return IdempotencyKey(endpoint, incarnation, *times, secrets.token_hex(12))
 
 
-def parse_key(text: str) -> KeyedKey | None:
+def parse_key(text: str) -> IdempotencyKey | None:
     """Returns the key that a text encodes, or None if it is not a valid encoding.
 
     Each key has exactly one encoding, so that one key cannot appear as two different ones.
@@ -70,4 +70,4 @@
     match = KEY_PATTERN.fullmatch(text) if len(text) <= MAX_KEY_LENGTH else None
     if match is None or int(match[3]) > LONGEST_LIFETIME_SECONDS * 1000:
         return None
-    return KeyedKey(match[5], match[1], int(match[2]), int(match[3]), match[4])
+    return IdempotencyKey(match[5], match[1], int(match[2]), int(match[3]), match[4])
--- a/wasabidrum/decisions/keyed_ledger.py
+++ b/wasabidrum/decisions/keyed_ledger.py
@@ -9,7 +9,7 @@
 import heapq
 import math
 
-from .idempotency_key import KeyedKey
+from .idempotency_key import IdempotencyKey
 from .keyed_record import IdempotencyRecord, KeptAnswer, KeyState
 from .keyed_verdict import KeyedVerdict, Verdict
 
@@ -20,7 +20,7 @@
 RECORD_ID_BYTES = 16
 
 
-def identify(workspace: str, key: KeyedKey) -> bytes:
+def identify(workspace: str, key: IdempotencyKey) -> bytes:
     """Returns the digest that identifies a key of a workspace."""
     text = f"{workspace}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=RECORD_ID_BYTES).digest()
@@ -57,7 +57,12 @@
         return self._answer_bytes
 
     def begin(
-        self, workspace: str, key: KeyedKey, fingerprint: bytes, now: float, start_before: float
+        self,
+        workspace: str,
+        key: IdempotencyKey,
+        fingerprint: bytes,
+        now: float,
+        start_before: float,
     ) -> KeyedVerdict:
         """Decides on a call that arrived; after RUN exactly one end method must be called.
 
@@ -99,7 +104,7 @@
             return KeyedVerdict(Verdict.NOT_RUN, record.code)
         return KeyedVerdict(Verdict.RUN)
 
-    def end_done(self, workspace: str, key: KeyedKey, answer: KeptAnswer, now: float) -> None:
+    def end_done(self, workspace: str, key: IdempotencyKey, answer: KeptAnswer, now: float) -> None:
         """Stores the complete answer of a call that ran, evicting the oldest ones if needed."""
         identity = identify(workspace, key)
         record = self._records[identity]
@@ -112,11 +117,11 @@
             self._evict_answer(next(iter(self._answers)))
         self._advance(now)
 
-    def end_unknown(self, workspace: str, key: KeyedKey, code: str, now: float) -> None:
+    def end_unknown(self, workspace: str, key: IdempotencyKey, code: str, now: float) -> None:
         """Records that a call started and that its outcome is unknown."""
         self._end(workspace, key, KeyState.UNKNOWN, code, now)
 
-    def end_not_run(self, workspace: str, key: KeyedKey, code: str, now: float) -> None:
+    def end_not_run(self, workspace: str, key: IdempotencyKey, code: str, now: float) -> None:
         """Records that the endpoint provably never received the call; later copies are refused."""
         self._end(workspace, key, KeyState.TOMBSTONE, code, now)
 
@@ -135,7 +140,9 @@
             return KeyedVerdict(Verdict.NOT_RUN, record.code)
         return KeyedVerdict(Verdict.UNKNOWN, record.code)
 
-    def _end(self, workspace: str, key: KeyedKey, state: KeyState, code: str, now: float) -> None:
+    def _end(
+        self, workspace: str, key: IdempotencyKey, state: KeyState, code: str, now: float
+    ) -> None:
         record = self._records[identify(workspace, key)]
         record.state, record.code = state, code
         self._advance(now)
--- a/wasabidrum/decisions/keyed_ledger_test.py
+++ b/wasabidrum/decisions/keyed_ledger_test.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import stateful, strategies
 
-from .idempotency_key import MAX_KEY_LENGTH, KeyedKey, make_key, parse_key
+from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
 from .keyed_ledger import KeyedLedger, make_ledger
 from .keyed_record import KeptAnswer
 from .keyed_verdict import Verdict
@@ -34,7 +34,7 @@
         self.started_at: dict[str, float] = {}
         self.time = 0.0
         self.runs: collections.Counter = collections.Counter()
-        self.running: list[tuple[str, str, KeyedKey, bytes]] = []
+        self.running: list[tuple[str, str, IdempotencyKey, bytes]] = []
         self.reported_not_run: set = set()
         self.answers: dict = {}
         for slot in ("tally-1", "tally-2"):
@@ -56,7 +56,7 @@
         lifetime=strategies.sampled_from((1, 5, 30)),
         lag=strategies.sampled_from((0, 0, 2, -2)),
     )
-    def issue(self, pick: int, lifetime: int, lag: int) -> KeyedKey:
+    def issue(self, pick: int, lifetime: int, lag: int) -> IdempotencyKey:
         """Issues a key at an entry whose estimate of the sidecar's uptime is off by the lag."""
         newest = list(self.ledgers)[-4:]
         incarnation = newest[pick % len(newest)]
@@ -69,7 +69,7 @@
         body=strategies.sampled_from((*BODIES[:1] * 4, *BODIES)),
         timeout=strategies.sampled_from((0, 3, 50)),
     )
-    def send(self, key: KeyedKey, workspace: str, body: bytes, timeout: int) -> tuple:
+    def send(self, key: IdempotencyKey, workspace: str, body: bytes, timeout: int) -> tuple:
         """Sends a call; the first delivery may be the last, and the response may be lost."""
         copy = (workspace, key, body, self.time + timeout)
         self.deliver_to(copy, key.incarnation)
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -4,7 +4,7 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.idempotency_key import KeyedKey, make_key
+from ..decisions.idempotency_key import IdempotencyKey, make_key
 from ..decisions.uptime_estimator import UptimeEstimator
 from .endpoint_table import EndpointTable, EndpointView
 
@@ -23,7 +23,7 @@
         self._clocks: dict[str, tuple[str, UptimeEstimator]] = {}
         self._random = random.Random()
 
-    def issue(self, service: str, lifetime: float = CALLER_KEY_SECONDS) -> KeyedKey:
+    def issue(self, service: str, lifetime: float = CALLER_KEY_SECONDS) -> IdempotencyKey:
         """Returns a key for an endpoint of a service, one with little of our work.
 
         Raises:
@@ -35,7 +35,7 @@
         sampled = self._random.sample(candidates, min(SAMPLED_ENDPOINTS, len(candidates)))
         return self.issue_for(min(sampled, key=lambda view: view.in_progress), lifetime)
 
-    async def issue_soon(self, service: str, lifetime: float, deadline: float) -> KeyedKey:
+    async def issue_soon(self, service: str, lifetime: float, deadline: float) -> IdempotencyKey:
         """Returns a key as issue does, where all endpoints are silent once one is heard again.
 
         Raises:
@@ -48,7 +48,7 @@
                 raise
         return self.issue(service, lifetime)
 
-    def issue_for(self, view: EndpointView, lifetime: float) -> KeyedKey:
+    def issue_for(self, view: EndpointView, lifetime: float) -> IdempotencyKey:
         """Returns a key that only the endpoint's present incarnation may run."""
         uptime = self.uptime(view, view.status.incarnation)
         return make_key(view.instance.name, view.status.incarnation, uptime or 0.0, lifetime)
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -9,7 +9,7 @@
 from ..core.errors import CodedError
 from ..core.fleet import Fleet, ServiceCall
 from ..core.outcome import Outcome
-from ..decisions.idempotency_key import KeyedKey, parse_key
+from ..decisions.idempotency_key import IdempotencyKey, parse_key
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -105,7 +105,7 @@
             if permit is not None:
                 permit.release()
 
-    def _check_key(self, caller: CallerRequest, order: ServiceOrder) -> KeyedKey:
+    def _check_key(self, caller: CallerRequest, order: ServiceOrder) -> IdempotencyKey:
         """Returns a caller's key.
 
         Raises:
@@ -181,7 +181,9 @@
             raise failure
         await asyncio.sleep(pause)
 
-    async def _call_owner(self, item: WorkItem, order: ServiceOrder, key: KeyedKey) -> ServiceReply:
+    async def _call_owner(
+        self, item: WorkItem, order: ServiceOrder, key: IdempotencyKey
+    ) -> ServiceReply:
         """Makes a call with a caller's key, which one incarnation alone may run."""
         view = self._find_owner(key)
         if view is None:
@@ -278,13 +280,13 @@
         view: EndpointView,
         item: WorkItem,
         order: ServiceOrder,
-        key: KeyedKey | None,
+        key: IdempotencyKey | None,
         placement: Placement | None,
     ) -> ServiceExchange:
         names = (item.workspace, item.request_id)
         return ServiceExchange(self._client, view, order, *names, key, placement)
 
-    def _find_owner(self, key: KeyedKey) -> EndpointView | None:
+    def _find_owner(self, key: IdempotencyKey) -> EndpointView | None:
         return self._table.find(key.endpoint)
 
     def _is_replaced(self, exchange: ServiceExchange) -> bool:
@@ -298,11 +300,11 @@
         # would still wait after it, and the charge would run for nobody.
         return item.awake_deadline - awake_seconds()
 
-    def _unknown(self, code: str, message: str, key: KeyedKey) -> CodedError:
+    def _unknown(self, code: str, message: str, key: IdempotencyKey) -> CodedError:
         error = CodedError(code, message, 504, Outcome.UNKNOWN, retry_after=1.0)
         return self._with_old_key(error, key)
 
-    def _with_old_key(self, error: CodedError, key: KeyedKey) -> CodedError:
+    def _with_old_key(self, error: CodedError, key: IdempotencyKey) -> CodedError:
         if error.outcome is Outcome.UNKNOWN:
             error.idempotency_key = str(key)
         return error
--- a/wasabidrum/entry/service_exchange.py
+++ b/wasabidrum/entry/service_exchange.py
@@ -7,7 +7,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.idempotency_key import KeyedKey
+from ..decisions.idempotency_key import IdempotencyKey
 from ..endpoints.service_reply import ServiceReply
 from ..outcomes.call_digest import digest_answer, digest_call
 from ..wire import headers, http_client
@@ -34,7 +34,7 @@
     order: ServiceOrder
     workspace: str
     request_id: str
-    key: KeyedKey | None
+    key: IdempotencyKey | None
     placement: Placement | None
 
     async def send(
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -7,7 +7,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.idempotency_key import KeyedKey
+from ..decisions.idempotency_key import IdempotencyKey
 from ..decisions.keyed_ledger import KeyedLedger, identify
 from ..decisions.keyed_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
@@ -51,7 +51,12 @@
         self._ledger.leave()
 
     async def run(
-        self, workspace: str, key: KeyedKey, fingerprint: bytes, start_before: float, work: Work
+        self,
+        workspace: str,
+        key: IdempotencyKey,
+        fingerprint: bytes,
+        start_before: float,
+        work: Work,
     ) -> ServiceReply:
         """Runs a call, or waits for or returns the answer of an earlier copy.
 
@@ -93,7 +98,7 @@
         except CodedError as error:
             raise CodedError(error.code, str(error), error.http_status, error.outcome) from error
 
-    async def _run(self, workspace: str, key: KeyedKey, work: Work) -> ServiceReply:
+    async def _run(self, workspace: str, key: IdempotencyKey, work: Work) -> ServiceReply:
         try:
             reply = await work()
         except CodedError as error:
--- a/wasabidrum/sidecar/keyed_calls_test.py
+++ b/wasabidrum/sidecar/keyed_calls_test.py
@@ -9,7 +9,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.idempotency_key import KeyedKey, make_key
+from ..decisions.idempotency_key import IdempotencyKey, make_key
 from ..decisions.keyed_ledger import make_ledger
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event_log import EventLog
@@ -34,7 +34,7 @@
         self.runs += 1
         return ServiceReply(200, "text/plain", b"charged")
 
-    async def charge(self, key: KeyedKey, start_before: float) -> ServiceReply:
+    async def charge(self, key: IdempotencyKey, start_before: float) -> ServiceReply:
         """Has a charge arrive."""
         return await self.calls.run("w", key, b"f", start_before, self.work)
 
--- a/wasabidrum/sidecar/service_attempt.py
+++ b/wasabidrum/sidecar/service_attempt.py
@@ -7,7 +7,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.idempotency_key import KeyedKey, parse_key
+from ..decisions.idempotency_key import IdempotencyKey, parse_key
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
 
@@ -30,7 +30,7 @@
     path: str
     content_type: str
     body: bytes
-    key: KeyedKey | None
+    key: IdempotencyKey | None
     fingerprint: bytes
     patience: float
     start_before: float
