--- a/wasabidrum/decisions/idempotency_key.py
+++ b/wasabidrum/decisions/idempotency_key.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-LONGEST_LIFETIME_SECONDS = 900.0
+MAX_LIFETIME_SECONDS = 900.0
 MAX_KEY_LENGTH = 255
 KEY_PATTERN = re.compile(
     r"wk1\.([0-9a-z-]{1,64})\.(0|[1-9][0-9]{0,14})\.([1-9][0-9]{0,8})\.([0-9a-f]{24})\.([!-~]{1,99})"
@@ -57,7 +57,7 @@
       uptime: The present uptime of the incarnation, in seconds.
       lifetime: Lifetime of the key, in seconds; limited to the longest one allowed.
     """
-    lifetime = min(max(lifetime, 0.001), LONGEST_LIFETIME_SECONDS)
+    lifetime = min(max(lifetime, 0.001), MAX_LIFETIME_SECONDS)
     times = (max(0, int(uptime * 1000)), max(1, int(lifetime * 1000)))
     return IdempotencyKey(endpoint, incarnation, *times, secrets.token_hex(12))
 
@@ -68,6 +68,6 @@
     Each key has exactly one encoding, so that one key cannot appear as two different ones.
     """
     match = KEY_PATTERN.fullmatch(text) if len(text) <= MAX_KEY_LENGTH else None
-    if match is None or int(match[3]) > LONGEST_LIFETIME_SECONDS * 1000:
+    if match is None or int(match[3]) > MAX_LIFETIME_SECONDS * 1000:
         return None
     return IdempotencyKey(match[5], match[1], int(match[2]), int(match[3]), match[4])
--- a/wasabidrum/entry/key_handler.py
+++ b/wasabidrum/entry/key_handler.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..core.errors import CodedError
-from ..decisions.idempotency_key import LONGEST_LIFETIME_SECONDS
+from ..decisions.idempotency_key import MAX_LIFETIME_SECONDS
 from ..observe.event import Event
 from ..wire import headers
 from .caller_handler import CallerHandler
@@ -16,7 +16,7 @@
     """The body: the service that is to be called, and for how long the key shall last."""
 
     service: str
-    lifetime_seconds: typing.Annotated[float, msgspec.Meta(ge=1.0, le=LONGEST_LIFETIME_SECONDS)] = (
+    lifetime_seconds: typing.Annotated[float, msgspec.Meta(ge=1.0, le=MAX_LIFETIME_SECONDS)] = (
         CALLER_KEY_SECONDS
     )
 
