--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -268,7 +268,7 @@
     basis = (
         f"{values['bytes_per_key']:.0f} B a key, {keys:.0f} keys if a fifth of calls are charges"
     )
-    module = "decisions/keyed_ledger.py"
+    module = "decisions/idempotency_ledger.py"
     return [
         Figure("sidecar", "memory of remembered keys", size, "MB", MEMORY_LIMIT_MB, module, basis)
     ]
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -14,7 +14,7 @@
 import tracemalloc
 
 from wasabidrum.decisions.idempotency_key import make_key
-from wasabidrum.decisions.keyed_ledger import make_ledger
+from wasabidrum.decisions.idempotency_ledger import make_ledger
 from wasabidrum.decisions.keyed_record import KeptAnswer
 
 from .outcomes_caller import OutcomesCaller
--- a/wasabidrum/decisions/keyed_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -7,7 +7,7 @@
 from hypothesis import stateful, strategies
 
 from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
-from .keyed_ledger import KeyedLedger, make_ledger
+from .idempotency_ledger import KeyedLedger, make_ledger
 from .keyed_record import KeptAnswer
 from .keyed_verdict import Verdict
 
--- a/wasabidrum/sidecar/daemon.py
+++ b/wasabidrum/sidecar/daemon.py
@@ -14,7 +14,7 @@
 from ..core.requests_in_progress import RequestsInProgress
 from ..core.status import Status
 from ..decisions.death_record import DeathRecord
-from ..decisions.keyed_ledger import make_ledger
+from ..decisions.idempotency_ledger import make_ledger
 from ..endpoints.http_model_engine import make_model_engine
 from ..endpoints.http_plain_service import make_plain_service
 from ..endpoints.model_engine import ModelEngine
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -8,7 +8,7 @@
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
-from ..decisions.keyed_ledger import KeyedLedger, identify
+from ..decisions.idempotency_ledger import KeyedLedger, identify
 from ..decisions.keyed_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
--- a/wasabidrum/sidecar/keyed_calls_test.py
+++ b/wasabidrum/sidecar/keyed_calls_test.py
@@ -10,7 +10,7 @@
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey, make_key
-from ..decisions.keyed_ledger import make_ledger
+from ..decisions.idempotency_ledger import make_ledger
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event_log import EventLog
 from .keyed_calls import KeyedCalls
--- a/wasabidrum/sidecar/service_attempt_test.py
+++ b/wasabidrum/sidecar/service_attempt_test.py
@@ -9,7 +9,7 @@
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import make_key
-from ..decisions.keyed_ledger import make_ledger
+from ..decisions.idempotency_ledger import make_ledger
 from ..decisions.keyed_verdict import Verdict
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
