--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -26,7 +26,7 @@
     return hashlib.blake2b(text, digest_size=RECORD_ID_BYTES).digest()
 
 
-class KeyedLedger:
+class IdempotencyLedger:
     """The idempotency records of one sidecar incarnation.
 
     All times are in seconds since the incarnation started.
@@ -176,6 +176,6 @@
     incarnation: str,
     max_records: int = MAX_RECORDS,
     max_answer_bytes: int = MAX_ANSWER_BYTES,
-) -> KeyedLedger:
+) -> IdempotencyLedger:
     """Returns an empty ledger for a new incarnation."""
-    return KeyedLedger(incarnation, max_records, max_answer_bytes)
+    return IdempotencyLedger(incarnation, max_records, max_answer_bytes)
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -7,7 +7,7 @@
 from hypothesis import stateful, strategies
 
 from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
-from .idempotency_ledger import KeyedLedger, make_ledger
+from .idempotency_ledger import IdempotencyLedger, make_ledger
 from .keyed_record import KeptAnswer
 from .keyed_verdict import Verdict
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledgers: dict[str, KeyedLedger] = {}
+        self.ledgers: dict[str, IdempotencyLedger] = {}
         self.started_at: dict[str, float] = {}
         self.time = 0.0
         self.runs: collections.Counter = collections.Counter()
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -8,7 +8,7 @@
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
-from ..decisions.idempotency_ledger import KeyedLedger, identify
+from ..decisions.idempotency_ledger import IdempotencyLedger, identify
 from ..decisions.keyed_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
@@ -25,7 +25,7 @@
 
     __slots__ = ("_ledger", "_tasks", "_log", "_started", "_running")
 
-    def __init__(self, ledger: KeyedLedger, tasks: BackgroundTasks, log: EventLog) -> None:
+    def __init__(self, ledger: IdempotencyLedger, tasks: BackgroundTasks, log: EventLog) -> None:
         self._ledger = ledger
         self._tasks = tasks
         self._log = log
