--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -20,7 +20,7 @@
 RECORD_ID_BYTES = 16
 
 
-def identify(workspace: str, key: IdempotencyKey) -> bytes:
+def record_id(workspace: str, key: IdempotencyKey) -> bytes:
     """Returns the digest that identifies a key of a workspace."""
     text = f"{workspace}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=RECORD_ID_BYTES).digest()
@@ -75,7 +75,7 @@
         # longer names. That incarnation may have run the call already.
         if key.incarnation != self._incarnation:
             return KeyedVerdict(Verdict.UNKNOWN, "key_of_another_incarnation")
-        identity = identify(workspace, key)
+        identity = record_id(workspace, key)
         record = self._records.get(identity)
         if record is not None:
             return self._decide_known(record, fingerprint)
@@ -106,7 +106,7 @@
 
     def end_done(self, workspace: str, key: IdempotencyKey, answer: KeptAnswer, now: float) -> None:
         """Stores the complete answer of a call that ran, evicting the oldest ones if needed."""
-        identity = identify(workspace, key)
+        identity = record_id(workspace, key)
         record = self._records[identity]
         record.state, record.answer = KeyState.DONE, answer
         self._answers[identity] = size = len(answer.body or b"")
@@ -143,7 +143,7 @@
     def _end(
         self, workspace: str, key: IdempotencyKey, state: KeyState, code: str, now: float
     ) -> None:
-        record = self._records[identify(workspace, key)]
+        record = self._records[record_id(workspace, key)]
         record.state, record.code = state, code
         self._advance(now)
 
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -8,7 +8,7 @@
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
-from ..decisions.idempotency_ledger import IdempotencyLedger, identify
+from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
 from ..decisions.keyed_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
@@ -67,7 +67,7 @@
           CodedError: No whole answer; the outcome is proved.
         """
         verdict = self._ledger.begin(workspace, key, fingerprint, self.uptime, start_before)
-        identity = identify(workspace, key)
+        identity = record_id(workspace, key)
         if verdict.verdict is Verdict.RUN:
             self._log.write(Event.CALL_STARTED, workspace=workspace, key=str(key))
             # A task of its own: the run and its record must outlive the connection that the
