--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -125,7 +125,7 @@
         """Records that the endpoint provably never received the call; later copies are refused."""
         self._end(workspace, key, KeyState.TOMBSTONE, code, now)
 
-    def leave(self) -> None:
+    def refuse_new_keys(self) -> None:
         """Refuses from now on every key without a record, whenever it was issued."""
         self._refused_issued_until = math.inf
 
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -151,7 +151,7 @@
         """Replaces an instance whose old process stays alive, crashes one, or starts its exit."""
         incarnation = sorted(self.ledgers)[pick % len(self.ledgers)]
         if what == "leave":
-            self.ledgers[incarnation].leave()
+            self.ledgers[incarnation].refuse_new_keys()
         elif what == "crash":
             self.ledgers[incarnation] = make_ledger("dead", 0, 0)
             self.running = [run for run in self.running if run[0] != incarnation]
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -48,7 +48,7 @@
 
     def leave(self) -> None:
         """Refuses from now on every call that has not started."""
-        self._ledger.leave()
+        self._ledger.refuse_new_keys()
 
     async def run(
         self,
