--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -15,7 +15,7 @@
 
 from wasabidrum.decisions.idempotency_key import make_key
 from wasabidrum.decisions.idempotency_ledger import make_ledger
-from wasabidrum.decisions.keyed_record import KeptAnswer
+from wasabidrum.decisions.idempotency_record import KeptAnswer
 
 from .outcomes_caller import OutcomesCaller
 from .outcomes_chaos import OutcomesChaos
--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -10,7 +10,7 @@
 import math
 
 from .idempotency_key import IdempotencyKey
-from .keyed_record import IdempotencyRecord, KeptAnswer, KeyState
+from .idempotency_record import IdempotencyRecord, KeptAnswer, KeyState
 from .keyed_verdict import KeyedVerdict, Verdict
 
 MAX_RECORDS = 50_000
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -8,7 +8,7 @@
 
 from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
 from .idempotency_ledger import IdempotencyLedger, make_ledger
-from .keyed_record import KeptAnswer
+from .idempotency_record import KeptAnswer
 from .keyed_verdict import Verdict
 
 WORKSPACES = ("stationers", "printers")
--- a/wasabidrum/decisions/keyed_verdict.py
+++ b/wasabidrum/decisions/keyed_verdict.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from .keyed_record import KeptAnswer
+from .idempotency_record import KeptAnswer
 
 
 class Verdict(enum.Enum):
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -9,7 +9,7 @@
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
 from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
-from ..decisions.keyed_record import KeptAnswer
+from ..decisions.idempotency_record import KeptAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
