--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -15,7 +15,7 @@
 
 from wasabidrum.decisions.idempotency_key import make_key
 from wasabidrum.decisions.idempotency_ledger import make_ledger
-from wasabidrum.decisions.idempotency_record import KeptAnswer
+from wasabidrum.decisions.idempotency_record import StoredAnswer
 
 from .outcomes_caller import OutcomesCaller
 from .outcomes_chaos import OutcomesChaos
@@ -48,7 +48,7 @@
     for number in range(MEMORY_KEYS):
         key = make_key("tally-1", "0193c0ffee000-aabbccddeeff", number / 1000, 300.0)
         ledger.begin("stationers", key, number.to_bytes(16, "big"), number / 1000, 1e9)
-        answer = KeptAnswer(200, "application/json", ANSWER + str(number).encode())
+        answer = StoredAnswer(200, "application/json", ANSWER + str(number).encode())
         ledger.end_done("stationers", key, answer, number / 1000)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -10,7 +10,7 @@
 import math
 
 from .idempotency_key import IdempotencyKey
-from .idempotency_record import IdempotencyRecord, KeptAnswer, KeyState
+from .idempotency_record import IdempotencyRecord, KeyState, StoredAnswer
 from .keyed_verdict import KeyedVerdict, Verdict
 
 MAX_RECORDS = 50_000
@@ -104,7 +104,9 @@
             return KeyedVerdict(Verdict.NOT_RUN, record.code)
         return KeyedVerdict(Verdict.RUN)
 
-    def end_done(self, workspace: str, key: IdempotencyKey, answer: KeptAnswer, now: float) -> None:
+    def end_done(
+        self, workspace: str, key: IdempotencyKey, answer: StoredAnswer, now: float
+    ) -> None:
         """Stores the complete answer of a call that ran, evicting the oldest ones if needed."""
         identity = record_id(workspace, key)
         record = self._records[identity]
@@ -169,7 +171,7 @@
             return
         self._answer_bytes -= size
         record = self._records[identity]
-        record.answer = KeptAnswer(record.answer.status, record.answer.content_type, None)
+        record.answer = StoredAnswer(record.answer.status, record.answer.content_type, None)
 
 
 def make_ledger(
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -8,7 +8,7 @@
 
 from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
 from .idempotency_ledger import IdempotencyLedger, make_ledger
-from .idempotency_record import KeptAnswer
+from .idempotency_record import StoredAnswer
 from .keyed_verdict import Verdict
 
 WORKSPACES = ("stationers", "printers")
@@ -128,7 +128,7 @@
         now = self.uptime(incarnation)
         if end == "done":
             self.answers[workspace, key, body] = f"{workspace}{key.nonce[:6]}".encode() + body
-            answer = KeptAnswer(200, "text/plain", self.answers[workspace, key, body])
+            answer = StoredAnswer(200, "text/plain", self.answers[workspace, key, body])
             ledger.end_done(workspace, key, answer, now)
         elif end == "lost":
             ledger.end_unknown(workspace, key, "service_lost", now)
@@ -181,7 +181,7 @@
         ledger = make_ledger("i")
         key = make_key("tally", "i", 0.0, 10.0)
         self.assertIs(ledger.begin("w", key, b"f", 1.0, 9.0).verdict, Verdict.RUN)
-        ledger.end_done("w", key, KeptAnswer(200, "", b"x"), 2.0)
+        ledger.end_done("w", key, StoredAnswer(200, "", b"x"), 2.0)
         self.assertIs(ledger.begin("w", key, b"f", 11.0, 20.0).verdict, Verdict.UNKNOWN)
         self.assertEqual(ledger.size, 0)
         self.assertIs(ledger.begin("w", key, b"f", 1.0, 20.0).verdict, Verdict.UNKNOWN)
@@ -207,7 +207,7 @@
         keys = [make_key("tally", "i", 0.0, 100.0) for _ in range(3)]
         for key in keys:
             ledger.begin("w", key, b"f", 1.0, 9.0)
-            ledger.end_done("w", key, KeptAnswer(201, "text/plain", b"12345"), 1.0)
+            ledger.end_done("w", key, StoredAnswer(201, "text/plain", b"12345"), 1.0)
         kept = [ledger.begin("w", key, b"f", 2.0, 9.0).answer for key in keys]
         self.assertEqual([answer.body for answer in kept], [None, b"12345", b"12345"])
         self.assertEqual(kept[0].status, 201)
--- a/wasabidrum/decisions/idempotency_record.py
+++ b/wasabidrum/decisions/idempotency_record.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredAnswer:
     """A complete answer of the service; the body is None after eviction."""
 
     status: int
@@ -35,5 +35,5 @@
     fingerprint: bytes
     expires: float
     state: KeyState
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
     code: str = ""
--- a/wasabidrum/decisions/keyed_verdict.py
+++ b/wasabidrum/decisions/keyed_verdict.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from .idempotency_record import KeptAnswer
+from .idempotency_record import StoredAnswer
 
 
 class Verdict(enum.Enum):
@@ -23,4 +23,4 @@
 
     verdict: Verdict
     code: str = ""
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -9,7 +9,7 @@
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
 from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
-from ..decisions.idempotency_record import KeptAnswer
+from ..decisions.idempotency_record import StoredAnswer
 from ..decisions.keyed_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
@@ -110,7 +110,7 @@
         except BaseException:
             self._ledger.end_unknown(workspace, key, "service_lost", self.uptime)
             raise
-        answer = KeptAnswer(reply.status, reply.content_type, reply.body)
+        answer = StoredAnswer(reply.status, reply.content_type, reply.body)
         self._ledger.end_done(workspace, key, answer, self.uptime)
         return reply
 
@@ -120,7 +120,7 @@
     return ServiceReply(reply.status, reply.content_type, reply.body, replayed=True)
 
 
-def replay(answer: KeptAnswer) -> ServiceReply:
+def replay(answer: StoredAnswer) -> ServiceReply:
     """Returns a kept answer.
 
     Raises:
