--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -11,7 +11,7 @@
 
 from .idempotency_key import IdempotencyKey
 from .idempotency_record import IdempotencyRecord, KeyState, StoredAnswer
-from .keyed_verdict import KeyedVerdict, Verdict
+from .idempotency_verdict import KeyedVerdict, Verdict
 
 MAX_RECORDS = 50_000
 MAX_ANSWER_BYTES = 8 * 1_048_576
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -9,7 +9,7 @@
 from .idempotency_key import MAX_KEY_LENGTH, IdempotencyKey, make_key, parse_key
 from .idempotency_ledger import IdempotencyLedger, make_ledger
 from .idempotency_record import StoredAnswer
-from .keyed_verdict import Verdict
+from .idempotency_verdict import Verdict
 
 WORKSPACES = ("stationers", "printers")
 BODIES = (b"a", b"b")
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -10,7 +10,7 @@
 from ..decisions.idempotency_key import IdempotencyKey
 from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
 from ..decisions.idempotency_record import StoredAnswer
-from ..decisions.keyed_verdict import KeyedVerdict, Verdict
+from ..decisions.idempotency_verdict import KeyedVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from ..observe.event_log import EventLog
--- a/wasabidrum/sidecar/service_attempt_test.py
+++ b/wasabidrum/sidecar/service_attempt_test.py
@@ -10,7 +10,7 @@
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import make_key
 from ..decisions.idempotency_ledger import make_ledger
-from ..decisions.keyed_verdict import Verdict
+from ..decisions.idempotency_verdict import Verdict
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
 from .service_attempt import read_attempt
