--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -11,7 +11,7 @@
 
 from .idempotency_key import IdempotencyKey
 from .idempotency_record import IdempotencyRecord, KeyState, StoredAnswer
-from .idempotency_verdict import KeyedVerdict, Verdict
+from .idempotency_verdict import IdempotencyVerdict, Verdict
 
 MAX_RECORDS = 50_000
 MAX_ANSWER_BYTES = 8 * 1_048_576
@@ -63,7 +63,7 @@
         fingerprint: bytes,
         now: float,
         start_before: float,
-    ) -> KeyedVerdict:
+    ) -> IdempotencyVerdict:
         """Decides on a call that arrived; after RUN exactly one end method must be called.
 
         Args:
@@ -74,7 +74,7 @@
         # The records of another incarnation are lost, or are held by a process that the list no
         # longer names. That incarnation may have run the call already.
         if key.incarnation != self._incarnation:
-            return KeyedVerdict(Verdict.UNKNOWN, "key_of_another_incarnation")
+            return IdempotencyVerdict(Verdict.UNKNOWN, "key_of_another_incarnation")
         identity = record_id(workspace, key)
         record = self._records.get(identity)
         if record is not None:
@@ -82,18 +82,18 @@
         # Records are removed when their keys expire by this same clock, so an unexpired key
         # without a record was never received here.
         if key.expires <= now:
-            return KeyedVerdict(Verdict.UNKNOWN, "key_expired")
+            return IdempotencyVerdict(Verdict.UNKNOWN, "key_expired")
         if key.issued > now + MAX_ISSUED_AHEAD_SECONDS:
-            return KeyedVerdict(Verdict.UNKNOWN, "key_issued_ahead")
+            return IdempotencyVerdict(Verdict.UNKNOWN, "key_issued_ahead")
         if key.issued <= self._refused_issued_until:
             code = "endpoint_leaving" if math.isinf(self._refused_issued_until) else "keys_full"
-            return KeyedVerdict(Verdict.NOT_RUN, code)
+            return IdempotencyVerdict(Verdict.NOT_RUN, code)
         if len(self._records) >= self._max_records:
             # There is no room for a record or a tombstone. The time stands for a tombstone of
             # every key issued until now, so that "not run" also holds for a copy of this call
             # that arrives when there is room again.
             self._refused_issued_until = max(now, key.issued)
-            return KeyedVerdict(Verdict.NOT_RUN, "keys_full")
+            return IdempotencyVerdict(Verdict.NOT_RUN, "keys_full")
         record = IdempotencyRecord(fingerprint, key.expires, KeyState.RUNNING)
         self._records[identity] = record
         heapq.heappush(self._expiries, (key.expires, identity))
@@ -101,8 +101,8 @@
         # deadline. The caller may have made the charge in another way by now.
         if now >= start_before:
             record.state, record.code = KeyState.TOMBSTONE, "deadline_passed"
-            return KeyedVerdict(Verdict.NOT_RUN, record.code)
-        return KeyedVerdict(Verdict.RUN)
+            return IdempotencyVerdict(Verdict.NOT_RUN, record.code)
+        return IdempotencyVerdict(Verdict.RUN)
 
     def end_done(
         self, workspace: str, key: IdempotencyKey, answer: StoredAnswer, now: float
@@ -131,16 +131,16 @@
         """Refuses from now on every key without a record, whenever it was issued."""
         self._refused_issued_until = math.inf
 
-    def _decide_known(self, record: IdempotencyRecord, fingerprint: bytes) -> KeyedVerdict:
+    def _decide_known(self, record: IdempotencyRecord, fingerprint: bytes) -> IdempotencyVerdict:
         if record.fingerprint != fingerprint:
-            return KeyedVerdict(Verdict.CONFLICT, "key_reused")
+            return IdempotencyVerdict(Verdict.CONFLICT, "key_reused")
         if record.state is KeyState.RUNNING:
-            return KeyedVerdict(Verdict.JOIN)
+            return IdempotencyVerdict(Verdict.JOIN)
         if record.state is KeyState.DONE:
-            return KeyedVerdict(Verdict.REPLAY, answer=record.answer)
+            return IdempotencyVerdict(Verdict.REPLAY, answer=record.answer)
         if record.state is KeyState.TOMBSTONE:
-            return KeyedVerdict(Verdict.NOT_RUN, record.code)
-        return KeyedVerdict(Verdict.UNKNOWN, record.code)
+            return IdempotencyVerdict(Verdict.NOT_RUN, record.code)
+        return IdempotencyVerdict(Verdict.UNKNOWN, record.code)
 
     def _end(
         self, workspace: str, key: IdempotencyKey, state: KeyState, code: str, now: float
--- a/wasabidrum/decisions/idempotency_verdict.py
+++ b/wasabidrum/decisions/idempotency_verdict.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeyedVerdict:
+class IdempotencyVerdict:
     """A verdict, with the stored answer for a replay and the code for a refusal."""
 
     verdict: Verdict
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -10,7 +10,7 @@
 from ..decisions.idempotency_key import IdempotencyKey
 from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
 from ..decisions.idempotency_record import StoredAnswer
-from ..decisions.idempotency_verdict import KeyedVerdict, Verdict
+from ..decisions.idempotency_verdict import IdempotencyVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -132,7 +132,7 @@
     return ServiceReply(answer.status, answer.content_type, answer.body, replayed=True)
 
 
-def refusal(verdict: KeyedVerdict) -> CodedError:
+def refusal(verdict: IdempotencyVerdict) -> CodedError:
     """Returns the error that tells a verdict."""
     if verdict.verdict is Verdict.NOT_RUN:
         return CodedError(verdict.code, "not run, and never will be with this key", 503)
