--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -173,7 +173,7 @@
     points = [(run["size"], run["idle"]["calls_per_second"] / len(REGIONS)) for run in runs]
     calls, basis = fit(points, DAEMONS)
     calls *= DATA_CENTRES
-    module = "decisions/member_readers.py: two readers a data centre"
+    module = "decisions/reader_plan.py: two readers a data centre"
     figures.append(
         Figure("configuration service", "calls", calls, "1/s", SERVICE_CALLS_LIMIT, module, basis)
     )
--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -14,8 +14,8 @@
 from wasabidrum.core.load import Load
 from wasabidrum.core.status import Status
 from wasabidrum.decisions import endpoint_subset
-from wasabidrum.decisions.member_readers import ReaderPlan
 from wasabidrum.decisions.member_table import MemberTable
+from wasabidrum.decisions.reader_plan import ReaderPlan
 from wasabidrum.peers import peer_client
 from wasabidrum.peers.configuration_follower import prepare_value
 from wasabidrum.peers.instance_roster import InstanceRoster
--- a/wasabidrum/decisions/member_readers_test.py
+++ b/wasabidrum/decisions/reader_plan_test.py
@@ -4,7 +4,7 @@
 import unittest
 
 from ..core.instance import Instance, InstanceRole
-from .member_readers import FAN_OUT, ReaderPlan
+from .reader_plan import FAN_OUT, ReaderPlan
 
 
 def make_members(centres: int, each: int) -> list[Instance]:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -11,11 +11,11 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.instance import Instance
 from ..core.status import Status
-from ..decisions.member_readers import ReaderPlan
 from ..decisions.member_record import instance_from
 from ..decisions.member_table import MemberTable
 from ..decisions.member_update import MemberState, MemberUpdate
 from ..decisions.pause_detector import PauseDetector
+from ..decisions.reader_plan import ReaderPlan
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.instance_directory import InstanceDirectory
--- a/wasabidrum/peers/reader_assignment.py
+++ b/wasabidrum/peers/reader_assignment.py
@@ -1,8 +1,8 @@
 """Keeps the plan of who hears from whom in step with the members."""
 
 from ..core.instance import Instance
-from ..decisions.member_readers import ReaderPlan
 from ..decisions.member_table import MemberTable
+from ..decisions.reader_plan import ReaderPlan
 
 PLAN_SECONDS = 0.5
 
