--- a/wasabidrum/decisions/member_record.py
+++ b/wasabidrum/decisions/member_record.py
@@ -58,7 +58,7 @@
         )
 
 
-def instance_from(status: Status) -> Instance:
+def instance_from_status(status: Status) -> Instance:
     """Returns the instance that a status describes, with the addresses the daemon reports."""
     state = InstanceState.LEAVING if status.leaving else InstanceState.LIVE
     return Instance(
--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -13,7 +13,7 @@
 
 from ..core.instance import Instance
 from ..core.status import Status
-from .member_record import MemberRecord, address_of, decayed_flaps, instance_from
+from .member_record import MemberRecord, address_of, decayed_flaps, instance_from_status
 from .member_update import MemberState, MemberUpdate
 
 SUSPICION_TIMEOUT_SECONDS = 4.0
@@ -110,7 +110,7 @@
             return
         record = self._records.get(status.name)
         if record is None:
-            record = MemberRecord(instance_from(status), unlisted_at=now)
+            record = MemberRecord(instance_from_status(status), unlisted_at=now)
             self._records[status.name] = record
             self._pending.add(record.name)
         elif status.incarnation < record.incarnation:
@@ -126,7 +126,7 @@
             # The listed address may reach the daemon in a way that the daemon does not know of. The
             # reported address replaces it only if the list cannot mean this incarnation.
             if status.peer_port and (status_received_before or record.listed is None):
-                record.instance = instance_from(status)
+                record.instance = instance_from_status(status)
         changed = changed or status.leaving > record.reported_leaving
         record.reported_leaving = record.reported_leaving or status.leaving
         record.sequence = status.sequence
@@ -275,7 +275,7 @@
         # its own.
         if record.status is None or not record.status.peer_port:
             return False
-        reported = instance_from(record.status)
+        reported = instance_from_status(record.status)
         if address_of(reported) == address_of(record.instance):
             return False
         record.instance = reported
--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -8,7 +8,7 @@
 from ..core.instance import Instance, InstanceRole
 from ..core.status import Status
 from ..decisions import endpoint_subset
-from ..decisions.member_record import MemberRecord, instance_from
+from ..decisions.member_record import MemberRecord, instance_from_status
 from ..decisions.member_update import MemberState
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -77,7 +77,7 @@
     def _choose(self, now: float) -> None:
         records = [r for r in self._node.table.records if r.state is not MemberState.DEAD]
         usable = {record.name for record in self._node.table.usable(now)}
-        me = instance_from(self._node.status())
+        me = instance_from_status(self._node.status())
         entries = [r.instance for r in records if r.instance.role is InstanceRole.ENTRY]
         groups = group_endpoints(records, self._follower.current)
         size = endpoint_subset.subset_size(len(groups))
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -11,7 +11,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.instance import Instance
 from ..core.status import Status
-from ..decisions.member_record import instance_from
+from ..decisions.member_record import instance_from_status
 from ..decisions.member_table import MemberTable
 from ..decisions.member_update import MemberState, MemberUpdate
 from ..decisions.pause_detector import PauseDetector
@@ -263,7 +263,7 @@
             self.wake_all()
 
     def _make_plan(self, now: float) -> None:
-        wanted = self._plans.make(instance_from(self._account()), now)
+        wanted = self._plans.make(instance_from_status(self._account()), now)
         self._outbound.keep(wanted, now)
 
     def _notice_pause(self, now: float) -> None:
