--- a/wasabidrum/decisions/member_record.py
+++ b/wasabidrum/decisions/member_record.py
@@ -18,7 +18,7 @@
       listed: The entry of its slot in the list, or None if it is not listed.
       unlisted_at: Since when it has been missing from the list.
       reported_leaving: Whether it has reported that it is leaving; holds for the whole incarnation.
-      heard_at: When its last message arrived at this process.
+      last_message_at: When its last message arrived at this process.
       suspected_at: When its state became SUSPECT.
       flaps: Number of recent returns to ALIVE, as of flapped_at; decays over time.
     """
@@ -30,7 +30,7 @@
     sequence: int = 0
     state: MemberState = MemberState.ALIVE
     reported_leaving: bool = False
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     suspected_at: float = 0.0
     flaps: float = 0.0
     flapped_at: float = 0.0
--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -131,7 +131,7 @@
         record.reported_leaving = record.reported_leaving or status.leaving
         record.sequence = status.sequence
         record.status = status
-        record.heard_at = now
+        record.last_message_at = now
         self._set_state(record, MemberState.ALIVE, now)
         if changed:
             self._publish(record)
@@ -142,7 +142,7 @@
         if record is None or sequence < record.sequence:
             return
         record.sequence = sequence
-        record.heard_at = now
+        record.last_message_at = now
         if record.state is not MemberState.ALIVE:
             self._set_state(record, MemberState.ALIVE, now)
             self._publish(record)
@@ -162,7 +162,7 @@
         if (update.incarnation, update.sequence, update.state) <= held:
             return False
         newer = update.incarnation > record.incarnation
-        recently_heard = now - record.heard_at < RECENT_MESSAGE_SECONDS and not newer
+        recently_heard = now - record.last_message_at < RECENT_MESSAGE_SECONDS and not newer
         if update.state is not MemberState.ALIVE and recently_heard:
             # The sender's own link to the member is broken; this process still receives messages
             # from the member, and sends an update that says so.
@@ -233,7 +233,7 @@
                 self._set_state(record, MemberState.DEAD, now)
                 self._publish(record)
                 dead.append(record.name)
-            silent_for = now - max(record.unlisted_at, record.heard_at)
+            silent_for = now - max(record.unlisted_at, record.last_message_at)
             if record.listed is None and silent_for > UNLISTED_TIMEOUT_SECONDS:
                 del self._records[record.name]
                 self.version += 1
--- a/wasabidrum/peers/peer_membership.py
+++ b/wasabidrum/peers/peer_membership.py
@@ -56,7 +56,7 @@
     def _update(self, view: MemberView, record: MemberRecord) -> None:
         view.instance = record.instance
         view.status = record.status
-        view.seen_at = record.heard_at
+        view.seen_at = record.last_message_at
         # A failure met by this process counts until the member answers it, or is replaced.
         failed = self._failed.get(record.name) == record.incarnation
         view.suspected = failed or record.state is not MemberState.ALIVE
