--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -79,7 +79,7 @@
             and record.instance.peer_port
         ]
 
-    def take_news_to_pass_on(self) -> list[MemberUpdate]:
+    def drain_updates(self) -> list[MemberUpdate]:
         """Returns and clears the updates since the last call, to be sent to other members."""
         updates, self._updates = self._updates, []
         return updates
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -110,7 +110,7 @@
         watched = [f"m{i}" for i in range(8)]
         for name in watched:
             self.table.take_status(make_status(name, 5), 0.0)
-        self.table.take_news_to_pass_on()
+        self.table.drain_updates()
         for name in watched[:3]:
             self.table.suspect(name, 3.0)
         self.assertFalse(self.table.looks_isolated(watched))
@@ -129,16 +129,16 @@
         self.table.take_status(make_status("m2", 5), 0.0)
         self.table.suspect("m2", 4.0)
         self.run_ticks(4.0, 9.0)
-        for update in self.table.take_news_to_pass_on():
+        for update in self.table.drain_updates():
             other.take_news(update, 9.0)
         self.assertIs(other.get("m2").state, MemberState.DEAD)
-        self.assertTrue(other.take_news_to_pass_on())
+        self.assertTrue(other.drain_updates())
         for update in (
             self.table.get("m2").to_update(),
             MemberUpdate("m2", MemberState.ALIVE, "0", 99),
         ):
             other.take_news(update, 9.5)
-        self.assertEqual(other.take_news_to_pass_on(), [])
+        self.assertEqual(other.drain_updates(), [])
 
     def test_leaving_lasts_for_the_incarnation(self) -> None:
         """An instance reports that it is leaving, and a status without that arrives later. If the
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -77,7 +77,7 @@
         self._pass_on()
 
     def _pass_on(self) -> None:
-        fresh = self._table.take_news_to_pass_on()
+        fresh = self._table.drain_updates()
         for news in fresh:
             self.news.add(news)
         if fresh:
