--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -136,7 +136,7 @@
         if changed:
             self._publish(record)
 
-    def take_beat(self, name: str, sequence: int, now: float) -> None:
+    def apply_heartbeat(self, name: str, sequence: int, now: float) -> None:
         """Applies a heartbeat of the incarnation whose status is known."""
         record = self._records.get(name)
         if record is None or sequence < record.sequence:
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -42,7 +42,7 @@
         if push.status is not None:
             self._table.take_status(status, now)
         else:
-            self._table.take_beat(name, push.sequence, now)
+            self._table.apply_heartbeat(name, push.sequence, now)
         if was is None:
             self._log.write(Event.MEMBER_JOINED, member=name)
         elif was is not MemberState.ALIVE and known.state is MemberState.ALIVE:
