--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -84,7 +84,7 @@
         updates, self._updates = self._updates, []
         return updates
 
-    def take_list(self, instances: collections.abc.Iterable[Instance], now: float) -> None:
+    def apply_list(self, instances: collections.abc.Iterable[Instance], now: float) -> None:
         """Applies the platform's list, which this process or another member has read."""
         listed = {i.name: i for i in instances if i.name != self._name}
         before = [record for record in self._records.values() if record.listed is not None]
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -38,7 +38,7 @@
     def setUp(self) -> None:
         self.table = MemberTable("me")
         self.instances = [make_instance(f"m{i}") for i in range(10)]
-        self.table.take_list(self.instances, 0.0)
+        self.table.apply_list(self.instances, 0.0)
 
     def names(self, now: float) -> set[str]:
         """Returns the names of the usable members."""
@@ -54,11 +54,11 @@
     def test_an_empty_list_for_a_moment_removes_no_member(self) -> None:
         """The platform returns an empty list once. Applied as it is, it would remove every
         endpoint from routing, and all callers would be refused until the next read."""
-        self.table.take_list([], 1.0)
+        self.table.apply_list([], 1.0)
         self.assertTrue(self.table.list_is_implausible)
         self.run_ticks(1.0, 100.0)
         self.assertEqual(len(self.names(100.0)), 10)
-        self.table.take_list(self.instances, 100.0)
+        self.table.apply_list(self.instances, 100.0)
         self.assertFalse(self.table.list_is_implausible)
 
     def test_a_frozen_list_does_not_hide_a_new_process(self) -> None:
@@ -67,7 +67,7 @@
         reported = msgspec.structs.replace(make_status("m3", 1, "2"), http_port=9, peer_port=9)
         self.table.take_status(make_status("m3", 50, "1"), 0.5)
         self.table.take_status(reported, 1.0)
-        self.table.take_list(self.instances, 2.0)
+        self.table.apply_list(self.instances, 2.0)
         self.assertEqual(self.table.get("m3").instance.peer_port, 9)
         self.table.take_status(make_status("m3", 60, "1"), 2.5)
         self.assertEqual(self.table.get("m3").incarnation, "2")
@@ -88,7 +88,7 @@
         self.table.suspect("m1", 1.0, refused=True)
         self.assertNotIn("m1", self.names(1.0))
         self.assertEqual(self.run_ticks(1.0, 2.0), ["m1"])
-        self.table.take_list(self.instances, 2.0)
+        self.table.apply_list(self.instances, 2.0)
         self.assertNotIn("m1", self.names(2.0))
 
     def test_a_suspected_member_refutes_the_suspicion(self) -> None:
@@ -125,7 +125,7 @@
 
     def test_updates_are_passed_on_and_stale_updates_are_not(self) -> None:
         other = MemberTable("other")
-        other.take_list(self.instances, 0.0)
+        other.apply_list(self.instances, 0.0)
         self.table.take_status(make_status("m2", 5), 0.0)
         self.table.suspect("m2", 4.0)
         self.run_ticks(4.0, 9.0)
@@ -169,7 +169,7 @@
         self.assertEqual(self.table.tick(36.0), ["m6"])
 
     def test_unlisted_silent_members_are_removed_after_a_while(self) -> None:
-        self.table.take_list(self.instances[:-1], 1.0)
+        self.table.apply_list(self.instances[:-1], 1.0)
         self.run_ticks(1.0, 20.0)
         self.assertIsNotNone(self.table.get("m9"))
         self.run_ticks(20.0, 40.0)
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -66,7 +66,7 @@
     def take_list(self, instances: collections.abc.Collection[Instance], now: float) -> None:
         """Takes the platform's list."""
         implausible = self._table.list_is_implausible
-        self._table.take_list(instances, now)
+        self._table.apply_list(instances, now)
         if self._table.list_is_implausible and not implausible:
             self._log.write(Event.LIST_IMPLAUSIBLE, listed=len(instances))
 
