--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -104,7 +104,7 @@
                 record.unlisted_at = now
                 self._pending.add(record.name)
 
-    def take_status(self, status: Status, now: float) -> None:
+    def apply_status(self, status: Status, now: float) -> None:
         """Applies a status that a member sent to this process about itself."""
         if status.name == self._name:
             return
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -65,18 +65,18 @@
         """The list stops changing while a slot is given to a new process at another port. The
         process reports its address; otherwise its peers would use the old one for ever."""
         reported = msgspec.structs.replace(make_status("m3", 1, "2"), http_port=9, peer_port=9)
-        self.table.take_status(make_status("m3", 50, "1"), 0.5)
-        self.table.take_status(reported, 1.0)
+        self.table.apply_status(make_status("m3", 50, "1"), 0.5)
+        self.table.apply_status(reported, 1.0)
         self.table.apply_list(self.instances, 2.0)
         self.assertEqual(self.table.get("m3").instance.peer_port, 9)
-        self.table.take_status(make_status("m3", 60, "1"), 2.5)
+        self.table.apply_status(make_status("m3", 60, "1"), 2.5)
         self.assertEqual(self.table.get("m3").incarnation, "2")
 
     def test_a_listed_address_is_used_until_it_refuses_connections(self) -> None:
         """The platform lists an address that leads to a daemon by a route that the daemon does not
         know. The address that the daemon reports must not replace it while it works."""
         reported = msgspec.structs.replace(make_status("m3", 1), http_port=9, peer_port=9)
-        self.table.take_status(reported, 1.0)
+        self.table.apply_status(reported, 1.0)
         self.assertEqual(self.table.get("m3").instance.peer_port, 1)
         self.assertFalse(self.table.suspect("m3", 2.0, refused=True))
         self.assertEqual(self.table.get("m3").instance.peer_port, 9)
@@ -94,7 +94,7 @@
     def test_a_suspected_member_refutes_the_suspicion(self) -> None:
         """A network drops the packets of one link for three seconds. The member sends an update by
         another route with a later sequence; without this it would be declared dead."""
-        self.table.take_status(make_status("m1", 5), 0.0)
+        self.table.apply_status(make_status("m1", 5), 0.0)
         self.table.suspect("m1", 3.0)
         self.assertTrue(MemberTable("m1").take_news(self.table.get("m1").to_update(), 3.1))
         refuted = MemberUpdate("m1", MemberState.ALIVE, "1", 9)
@@ -109,7 +109,7 @@
         the guard it would declare the whole fleet dead, and send that once it is connected."""
         watched = [f"m{i}" for i in range(8)]
         for name in watched:
-            self.table.take_status(make_status(name, 5), 0.0)
+            self.table.apply_status(make_status(name, 5), 0.0)
         self.table.drain_updates()
         for name in watched[:3]:
             self.table.suspect(name, 3.0)
@@ -126,7 +126,7 @@
     def test_updates_are_passed_on_and_stale_updates_are_not(self) -> None:
         other = MemberTable("other")
         other.apply_list(self.instances, 0.0)
-        self.table.take_status(make_status("m2", 5), 0.0)
+        self.table.apply_status(make_status("m2", 5), 0.0)
         self.table.suspect("m2", 4.0)
         self.run_ticks(4.0, 9.0)
         for update in self.table.drain_updates():
@@ -143,26 +143,26 @@
     def test_leaving_lasts_for_the_incarnation(self) -> None:
         """An instance reports that it is leaving, and a status without that arrives later. If the
         latter were applied, the instance would get new work while it shuts down."""
-        self.table.take_status(make_status("m4", 7, leaving=True), 1.0)
-        self.table.take_status(make_status("m4", 8), 1.1)
+        self.table.apply_status(make_status("m4", 7, leaving=True), 1.0)
+        self.table.apply_status(make_status("m4", 8), 1.1)
         self.assertTrue(self.table.get("m4").leaving)
-        self.table.take_status(make_status("m4", 1, "2"), 5.0)
+        self.table.apply_status(make_status("m4", 1, "2"), 5.0)
         self.assertFalse(self.table.get("m4").leaving)
 
     def test_flapping_is_damped(self) -> None:
         """An instance with a loose cable is lost and returns every few seconds. Without damping,
         each return would give it requests that the next loss cuts off."""
         for turn in range(5):
-            self.table.take_status(make_status("m5", 2 * turn + 1), turn * 5.0)
+            self.table.apply_status(make_status("m5", 2 * turn + 1), turn * 5.0)
             self.table.suspect("m5", turn * 5.0 + 3.0)
-        self.table.take_status(make_status("m5", 99), 25.0)
+        self.table.apply_status(make_status("m5", 99), 25.0)
         self.assertNotIn("m5", self.names(25.0))
         self.assertIn("m5", self.names(25.0 + 2 * member_record.FLAP_HALF_LIFE_SECONDS))
 
     def test_a_pause_of_this_process_declares_no_member_dead(self) -> None:
         """This process is paused while one member is suspected. The pause must not count as time
         in which the member could have refuted the suspicion."""
-        self.table.take_status(make_status("m6", 1), 0.0)
+        self.table.apply_status(make_status("m6", 1), 0.0)
         self.table.suspect("m6", 1.0)
         self.table.forgive(30.0)
         self.assertEqual(self.table.tick(31.5), [])
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -40,7 +40,7 @@
         known = self._table.get(name)
         was = known.state if known is not None else None
         if push.status is not None:
-            self._table.take_status(status, now)
+            self._table.apply_status(status, now)
         else:
             self._table.apply_heartbeat(name, push.sequence, now)
         if was is None:
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -60,7 +60,7 @@
         """A daemon wakes after a minute. It asks others at once; but the dates at which it heard
         them are of the clock that stood still. Moved on by the whole minute they would lie in
         the future, and it would send callers to the dead for that long."""
-        self.node.table.take_status(Status(PEER, InstanceRole.SIDECAR, "j"), self.now())
+        self.node.table.apply_status(Status(PEER, InstanceRole.SIDECAR, "j"), self.now())
         self.node.lose(PEER, refused=False)
         with suspended_for(SUSPENDED_SECONDS):
             self.node.lose(PEER, refused=False)
