--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -147,7 +147,7 @@
             self._set_state(record, MemberState.ALIVE, now)
             self._publish(record)
 
-    def take_news(self, update: MemberUpdate, now: float) -> bool:
+    def apply_update(self, update: MemberUpdate, now: float) -> bool:
         """Applies an update about a member; returns whether this process must refute it."""
         if update.name == self._name:
             return update.state is not MemberState.ALIVE
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -96,12 +96,12 @@
         another route with a later sequence; without this it would be declared dead."""
         self.table.apply_status(make_status("m1", 5), 0.0)
         self.table.suspect("m1", 3.0)
-        self.assertTrue(MemberTable("m1").take_news(self.table.get("m1").to_update(), 3.1))
+        self.assertTrue(MemberTable("m1").apply_update(self.table.get("m1").to_update(), 3.1))
         refuted = MemberUpdate("m1", MemberState.ALIVE, "1", 9)
-        self.table.take_news(refuted, 4.0)
+        self.table.apply_update(refuted, 4.0)
         self.assertEqual(self.run_ticks(4.0, 20.0), [])
         late = MemberUpdate("m1", MemberState.DEAD, "1", 5)
-        self.table.take_news(late, 20.0)
+        self.table.apply_update(late, 20.0)
         self.assertIn("m1", self.names(20.0))
 
     def test_many_silent_members_are_not_declared_dead_while_none_responds(self) -> None:
@@ -130,14 +130,14 @@
         self.table.suspect("m2", 4.0)
         self.run_ticks(4.0, 9.0)
         for update in self.table.drain_updates():
-            other.take_news(update, 9.0)
+            other.apply_update(update, 9.0)
         self.assertIs(other.get("m2").state, MemberState.DEAD)
         self.assertTrue(other.drain_updates())
         for update in (
             self.table.get("m2").to_update(),
             MemberUpdate("m2", MemberState.ALIVE, "0", 99),
         ):
-            other.take_news(update, 9.5)
+            other.apply_update(update, 9.5)
         self.assertEqual(other.drain_updates(), [])
 
     def test_leaving_lasts_for_the_incarnation(self) -> None:
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -52,7 +52,7 @@
         """Takes what a member says of others; what it says wrongly of this process is refuted."""
         refute = False
         for news in told:
-            refute = self._table.take_news(news, now) or refute
+            refute = self._table.apply_update(news, now) or refute
         if refute:
             self.news.add(self._own_news())
         self._pass_on()
