--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -239,7 +239,7 @@
                 self.version += 1
         return dead
 
-    def forgive(self, seconds: float) -> None:
+    def extend_time_limits(self, seconds: float) -> None:
         """Extends the time limits by a pause of this process, when silence was no evidence."""
         for record in self._records.values():
             record.suspected_at += seconds
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -164,7 +164,7 @@
         in which the member could have refuted the suspicion."""
         self.table.apply_status(make_status("m6", 1), 0.0)
         self.table.suspect("m6", 1.0)
-        self.table.forgive(30.0)
+        self.table.extend_time_limits(30.0)
         self.assertEqual(self.table.tick(31.5), [])
         self.assertEqual(self.table.tick(36.0), ["m6"])
 
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -279,7 +279,7 @@
         # suspension. Moved on by more than it counted, these dates would lie in the future, and
         # the dead would be taken for alive for as long.
         seconds = min(paused, counted)
-        self.table.forgive(seconds)
+        self.table.extend_time_limits(seconds)
         self._outbound.forgive(seconds)
         for link in self._inbound:
             link.heard_at += seconds
