--- a/wasabidrum/decisions/member_table.py
+++ b/wasabidrum/decisions/member_table.py
@@ -203,7 +203,7 @@
             record.suspected_at = min(record.suspected_at, early)
         return newly_suspected
 
-    def looks_isolated(self, watched: collections.abc.Collection[str]) -> bool:
+    def may_be_isolated(self, watched: collections.abc.Collection[str]) -> bool:
         """Returns whether this process may be cut off: too many watched members are silent.
 
         It must then contact other members before it declares the silent ones dead.
--- a/wasabidrum/decisions/member_table_test.py
+++ b/wasabidrum/decisions/member_table_test.py
@@ -113,10 +113,10 @@
         self.table.drain_updates()
         for name in watched[:3]:
             self.table.suspect(name, 3.0)
-        self.assertFalse(self.table.looks_isolated(watched))
+        self.assertFalse(self.table.may_be_isolated(watched))
         for name in watched[3:]:
             self.table.suspect(name, 3.0)
-        self.assertTrue(self.table.looks_isolated(watched))
+        self.assertTrue(self.table.may_be_isolated(watched))
         self.table.isolated = True
         self.assertEqual(self.run_ticks(3.0, 60.0), [])
         # Other members responded: the silent ones have failed, as when a rack fails.
--- a/wasabidrum/peers/isolation_watch.py
+++ b/wasabidrum/peers/isolation_watch.py
@@ -32,7 +32,7 @@
 
     def judge(self, watched: list[str]) -> None:
         """Takes whom this process watches; asks in the background where they are silent."""
-        if not self._table.looks_isolated(watched):
+        if not self._table.may_be_isolated(watched):
             self._table.isolated = False
         elif self._asking is None or self._asking.done():
             if not self._table.isolated:
