--- a/wasabidrum/decisions/revision_book_test.py
+++ b/wasabidrum/decisions/revision_tracker_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from .revision_book import Claim, RevisionBook
+from .revision_tracker import Claim, RevisionBook
 
 
 class RevisionBookTest(unittest.TestCase):
--- a/wasabidrum/peers/claim_fetcher.py
+++ b/wasabidrum/peers/claim_fetcher.py
@@ -6,7 +6,7 @@
 from ..core.config_value import ConfigValue
 from ..core.digest import digest_of
 from ..core.errors import CodedError
-from ..decisions.revision_book import Claim
+from ..decisions.revision_tracker import Claim
 from ..platform.http_configuration_service import LARGEST_VALUE_BYTES
 from . import peer_client
 from .configuration_follower import ConfigurationFollower
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -9,7 +9,7 @@
 from ..core.config_value import ConfigValue
 from ..core.errors import CodedError
 from ..core.fleet import FleetRevision
-from ..decisions.revision_book import Claim, RevisionBook
+from ..decisions.revision_tracker import Claim, RevisionBook
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.configuration_service import ConfigurationService
