--- a/wasabidrum/decisions/revision_tracker.py
+++ b/wasabidrum/decisions/revision_tracker.py
@@ -33,7 +33,7 @@
     reason: str
 
 
-class RevisionBook:
+class RevisionTracker:
     """The revisions that one process knows.
 
     Attributes:
--- a/wasabidrum/decisions/revision_tracker_test.py
+++ b/wasabidrum/decisions/revision_tracker_test.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from .revision_tracker import Claim, RevisionBook
+from .revision_tracker import Claim, RevisionTracker
 
 
 class RevisionBookTest(unittest.TestCase):
     """The revision in force only increases, and none with two contents is put in force."""
 
     def setUp(self) -> None:
-        self.book = RevisionBook()
+        self.book = RevisionTracker()
         self.book.put_in_force(5, "five")
 
     def test_an_old_revision_is_refused(self) -> None:
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -9,7 +9,7 @@
 from ..core.config_value import ConfigValue
 from ..core.errors import CodedError
 from ..core.fleet import FleetRevision
-from ..decisions.revision_tracker import Claim, RevisionBook
+from ..decisions.revision_tracker import Claim, RevisionTracker
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.configuration_service import ConfigurationService
@@ -46,7 +46,7 @@
         self._rendering = asyncio.Lock()
         self._old_offered = 0
         self._alarm = ""
-        self.book = RevisionBook()
+        self.book = RevisionTracker()
         self.on_change: collections.abc.Callable[[], None] = ignore_change
         self.on_answer: collections.abc.Callable[[float], None] = ignore_answer
 
