--- a/wasabidrum/decisions/revision_tracker.py
+++ b/wasabidrum/decisions/revision_tracker.py
@@ -14,7 +14,7 @@
 MAX_CLAIMS = 8
 
 
-class Claim(enum.Enum):
+class ClaimVerdict(enum.Enum):
     """How to handle a claim that a revision exists."""
 
     OLD = "old"
@@ -71,13 +71,13 @@
         refused = self.refusal.revision if self.refusal is not None else 0
         return not self.alarm and self.highest > max(self._revision, refused)
 
-    def judge(self, revision: int, digest: str) -> Claim:
+    def judge(self, revision: int, digest: str) -> ClaimVerdict:
         """Records a claim that a revision exists; returns how to handle it."""
         if revision < self._revision:
-            return Claim.OLD
+            return ClaimVerdict.OLD
         if revision == self._revision:
             if digest == self._digest:
-                return Claim.HELD
+                return ClaimVerdict.HELD
             return self._report_conflict(revision, self._digest, digest)
         known = self._digests.setdefault(revision, digest)
         self._drop_lowest_claims()
@@ -86,14 +86,14 @@
             # already used. Half the fleet may run either content, so neither is chosen.
             return self._report_conflict(revision, known, digest)
         if self.alarm and self._conflicts(revision):
-            return Claim.CONFLICT
+            return ClaimVerdict.CONFLICT
         if self.refusal is not None and self.refusal.digest == digest:
-            return Claim.REFUSED
-        return Claim.WANTED
+            return ClaimVerdict.REFUSED
+        return ClaimVerdict.WANTED
 
     def put_in_force(self, revision: int, digest: str) -> bool:
         """Puts a complete and valid value in force; returns False if that is not allowed."""
-        if self.judge(revision, digest) is not Claim.WANTED:
+        if self.judge(revision, digest) is not ClaimVerdict.WANTED:
             return False
         self._revision = revision
         self._digest = digest
@@ -124,10 +124,10 @@
         if revision == self._revision and not self.alarm:
             self.alarm = alarm
 
-    def _report_conflict(self, revision: int, known: str, claimed: str) -> Claim:
+    def _report_conflict(self, revision: int, known: str, claimed: str) -> ClaimVerdict:
         pair = " and ".join(sorted((known, claimed)))
         self.alarm = f"revision {revision} has two contents: {pair}"
-        return Claim.CONFLICT
+        return ClaimVerdict.CONFLICT
 
     def _conflicts(self, revision: int) -> bool:
         return self.alarm.startswith(f"revision {revision} ")
--- a/wasabidrum/peers/claim_fetcher.py
+++ b/wasabidrum/peers/claim_fetcher.py
@@ -6,7 +6,7 @@
 from ..core.config_value import ConfigValue
 from ..core.digest import digest_of
 from ..core.errors import CodedError
-from ..decisions.revision_tracker import Claim
+from ..decisions.revision_tracker import ClaimVerdict
 from ..platform.http_configuration_service import LARGEST_VALUE_BYTES
 from . import peer_client
 from .configuration_follower import ConfigurationFollower
@@ -24,7 +24,11 @@
 
     def take_claim(self, revision: int, digest: str, host: str, port: int) -> None:
         """Takes a peer's word; fetches the value in the background where it is wanted."""
-        if not revision or not port or self._follower.judge(revision, digest) is not Claim.WANTED:
+        if (
+            not revision
+            or not port
+            or self._follower.judge(revision, digest) is not ClaimVerdict.WANTED
+        ):
             return
         busy = self._task is not None and not self._task.done()
         if busy and revision <= self._fetching:
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -9,7 +9,7 @@
 from ..core.config_value import ConfigValue
 from ..core.errors import CodedError
 from ..core.fleet import FleetRevision
-from ..decisions.revision_tracker import Claim, RevisionTracker
+from ..decisions.revision_tracker import ClaimVerdict, RevisionTracker
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.configuration_service import ConfigurationService
@@ -90,7 +90,7 @@
             else:
                 await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
-    def judge(self, revision: int, digest: str) -> Claim:
+    def judge(self, revision: int, digest: str) -> ClaimVerdict:
         """Takes somebody's word for a revision; says whether its value is wanted."""
         claim = self.book.judge(revision, digest)
         self._tell_alarm()
@@ -107,12 +107,12 @@
             claim = self.judge(value.revision, value.digest)
             # A service restored from an old copy offers an old revision. Without this check
             # the fleet would go back to it, and operators would see a change undo itself.
-            if claim is Claim.OLD and value.revision != self._old_offered:
+            if claim is ClaimVerdict.OLD and value.revision != self._old_offered:
                 self._old_offered = value.revision
                 self._log.write(
                     Event.REVISION_OLD_OFFERED, revision=value.revision, in_force=self.revision
                 )
-            if claim is not Claim.WANTED:
+            if claim is not ClaimVerdict.WANTED:
                 return False
             try:
                 revision, compressed = await self._prepare(value, compressed)
