--- a/wasabidrum/decisions/revision_tracker.py
+++ b/wasabidrum/decisions/revision_tracker.py
@@ -71,7 +71,7 @@
         refused = self.refusal.revision if self.refusal is not None else 0
         return not self.alarm and self.highest > max(self._revision, refused)
 
-    def judge(self, revision: int, digest: str) -> ClaimVerdict:
+    def assess_claim(self, revision: int, digest: str) -> ClaimVerdict:
         """Records a claim that a revision exists; returns how to handle it."""
         if revision < self._revision:
             return ClaimVerdict.OLD
@@ -93,7 +93,7 @@
 
     def put_in_force(self, revision: int, digest: str) -> bool:
         """Puts a complete and valid value in force; returns False if that is not allowed."""
-        if self.judge(revision, digest) is not ClaimVerdict.WANTED:
+        if self.assess_claim(revision, digest) is not ClaimVerdict.WANTED:
             return False
         self._revision = revision
         self._digest = digest
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -92,7 +92,7 @@
 
     def judge(self, revision: int, digest: str) -> ClaimVerdict:
         """Takes somebody's word for a revision; says whether its value is wanted."""
-        claim = self.book.judge(revision, digest)
+        claim = self.book.assess_claim(revision, digest)
         self._tell_alarm()
         return claim
 
