--- a/wasabidrum/decisions/revision_tracker.py
+++ b/wasabidrum/decisions/revision_tracker.py
@@ -116,7 +116,7 @@
         self.refusal = Refusal(revision, digest, reason)
         return True
 
-    def take_alarm(self, revision: int, alarm: str) -> None:
+    def adopt_alarm(self, revision: int, alarm: str) -> None:
         """Adopts an alarm from a process that has the given revision in force.
 
         Only few processes receive both contents of a revision, but operators may query any process.
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -98,7 +98,7 @@
 
     def take_alarm(self, revision: int, alarm: str) -> None:
         """Takes an alarm that a peer with a revision in force raised."""
-        self.book.take_alarm(revision, alarm)
+        self.book.adopt_alarm(revision, alarm)
         self._tell_alarm()
 
     async def offer(self, value: ConfigValue, compressed: bytes = b"") -> bool:
