--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -21,11 +21,11 @@
     """A period in which the store did not respond.
 
     Attributes:
-      began: A time at which a call had certainly failed.
+      started_at: A time at which a call had certainly failed.
       over: The time until which the store certainly did not count as responding.
     """
 
-    began: float
+    started_at: float
     over: float
 
 
--- a/wasabidrum/decisions/store_outage_test.py
+++ b/wasabidrum/decisions/store_outage_test.py
@@ -50,7 +50,7 @@
         """The store is back, and a peer reports that before the next call of this process."""
         self.fail(10.0, 18.0)
         self.outages.record_answer()
-        self.assertEqual(self.outages.latest.began, 10.0)
+        self.assertEqual(self.outages.latest.started_at, 10.0)
 
     def test_a_response_to_a_peer_just_before_the_outage_disproves_nothing(self) -> None:
         """A watch that was sent before the outage fails in it; peers had responses in between."""
--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -57,7 +57,7 @@
         unknown = min(self.heard_at + UNKNOWN_SECONDS, self.before + bound)
         counted_from = self.after
         # One that was in force before the outage stays so.
-        if self.after + bound > outage.began:
+        if self.after + bound > outage.started_at:
             counted_from = max(self.after, outage.over)
         return max(counted_from + bound, unknown)
 
