--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -22,11 +22,11 @@
 
     Attributes:
       started_at: A time at which a call had certainly failed.
-      over: The time until which the store certainly did not count as responding.
+      ended_at: The time until which the store certainly did not count as responding.
     """
 
     started_at: float
-    over: float
+    ended_at: float
 
 
 NO_OUTAGE = Outage(float("inf"), float("-inf"))
--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -58,7 +58,7 @@
         counted_from = self.after
         # One that was in force before the outage stays so.
         if self.after + bound > outage.started_at:
-            counted_from = max(self.after, outage.over)
+            counted_from = max(self.after, outage.ended_at)
         return max(counted_from + bound, unknown)
 
 
