--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -88,15 +88,15 @@
         self._last_sent_at = sent_at
         self._last_refused = refused
 
-    def record_peer(self, unanswered_since: float) -> None:
+    def record_peer(self, failing_since: float) -> None:
         """Records since when all calls of a peer have been failing.
 
         A process that has just started cannot know otherwise how long an outage has lasted.
         """
         if self._failing_since is not None:
-            self._failing_since = min(self._failing_since, unanswered_since)
+            self._failing_since = min(self._failing_since, failing_since)
         elif self._last_ended is NO_OUTAGE:
-            self._peers_failing_since = unanswered_since
+            self._peers_failing_since = failing_since
 
     def record_answer(self) -> None:
         """Records that the store responded."""
@@ -105,7 +105,7 @@
         self._peers_failing_since = float("inf")
 
     @property
-    def unanswered_since(self) -> float | None:
+    def failing_since(self) -> float | None:
         """When the present run of failed calls began, or None if the last call succeeded."""
         return self._failing_since
 
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -116,7 +116,7 @@
         """See EntryServiceOwner."""
         whole, changes = self._state.changes_after(message.after)
         now = awake_seconds()
-        since = self._state.outages.unanswered_since
+        since = self._state.outages.failing_since
         return ChangesReply(
             revision=self._state.revision,
             age=self._state.lease.age(now),
