--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -88,7 +88,7 @@
         self._last_sent_at = sent_at
         self._last_refused = refused
 
-    def record_peer(self, failing_since: float) -> None:
+    def record_peer_failure(self, failing_since: float) -> None:
         """Records since when all calls of a peer have been failing.
 
         A process that has just started cannot know otherwise how long an outage has lasted.
--- a/wasabidrum/decisions/store_outage_test.py
+++ b/wasabidrum/decisions/store_outage_test.py
@@ -75,13 +75,13 @@
         """Entries are restarted while the store is down. Based on their own few calls alone they
         would refuse all callers as soon as it is back."""
         self.fail(16.0, 18.0)
-        self.outages.record_peer(10.0)
+        self.outages.record_peer_failure(10.0)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
     def test_a_peer_may_report_the_outage_before_the_first_call_has_failed(self) -> None:
         """If the store does not respond at all, a call fails only after seconds."""
-        self.outages.record_peer(10.0)
+        self.outages.record_peer_failure(10.0)
         self.outages.record_failure(16.0, 18.0, False, False, NEVER)
         self.outages.record_answer()
         self.assertEqual(self.outages.latest, Outage(10.0, 16.0))
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -205,7 +205,7 @@
         if reply is None:
             return
         if reply.unanswered > 0.0:
-            self._state.outages.record_peer(asked_at - reply.unanswered)
+            self._state.outages.record_peer_failure(asked_at - reply.unanswered)
         now = asyncio.get_running_loop().time()
         newer = reply.revision >= self._state.revision and reply.revision > 0
         if newer:
