--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -98,7 +98,7 @@
         elif self._last_ended is NO_OUTAGE:
             self._peers_failing_since = failing_since
 
-    def record_answer(self) -> None:
+    def record_response(self) -> None:
         """Records that the store responded."""
         self._last_ended = self.latest
         self._failing_since = None
--- a/wasabidrum/decisions/store_outage_test.py
+++ b/wasabidrum/decisions/store_outage_test.py
@@ -25,7 +25,7 @@
 
     def test_an_outage_with_refusals_includes_the_settling_time(self) -> None:
         self.fail(10.0, 18.0)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
     def test_an_outage_is_reported_while_it_continues(self) -> None:
@@ -35,7 +35,7 @@
     def test_an_outage_with_lost_calls_excludes_the_settling_time(self) -> None:
         """A link that was cut works again at once; only a store that was down has to settle."""
         self.fail(10.0, 18.0, refused=False)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0))
 
     def test_responses_to_peers_disprove_the_outage(self) -> None:
@@ -43,13 +43,13 @@
         entry would place requests on replaced weights after all others have stopped."""
         for second in range(10, 19):
             self.fail(float(second), second + 0.5, last_response_at=second - 0.2)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
     def test_a_peer_whose_call_succeeds_first_disproves_nothing(self) -> None:
         """The store is back, and a peer reports that before the next call of this process."""
         self.fail(10.0, 18.0)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest.started_at, 10.0)
 
     def test_a_response_to_a_peer_just_before_the_outage_disproves_nothing(self) -> None:
@@ -61,14 +61,14 @@
     def test_a_short_run_proves_nothing(self) -> None:
         """Peers have not been asked yet, and may have had responses all the time."""
         self.fail(10.0, 10.0 + MIN_OUTAGE_SECONDS - STEP_SECONDS)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
     def test_a_pause_of_this_process_is_no_outage(self) -> None:
         """A call that was in progress during a suspension times out when the process resumes."""
         self.outages.record_failure(10.0, 14.0, False, True, NEVER)
         self.outages.record_failure(20.0, 24.0, False, True, NEVER)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, NO_OUTAGE)
 
     def test_a_process_that_started_in_the_outage_adopts_its_start_from_a_peer(self) -> None:
@@ -76,19 +76,19 @@
         would refuse all callers as soon as it is back."""
         self.fail(16.0, 18.0)
         self.outages.record_peer_failure(10.0)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
 
     def test_a_peer_may_report_the_outage_before_the_first_call_has_failed(self) -> None:
         """If the store does not respond at all, a call fails only after seconds."""
         self.outages.record_peer_failure(10.0)
         self.outages.record_failure(16.0, 18.0, False, False, NEVER)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, Outage(10.0, 16.0))
 
     def test_a_short_second_run_does_not_replace_the_first_outage(self) -> None:
         self.fail(10.0, 18.0)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.fail(30.0, 31.0)
-        self.outages.record_answer()
+        self.outages.record_response()
         self.assertEqual(self.outages.latest, Outage(10.0, 18.0 + SETTLING))
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -98,7 +98,7 @@
             await asyncio.sleep(GATHER_SECONDS)
 
     def _take_answer(self) -> None:
-        self._state.outages.record_answer()
+        self._state.outages.record_response()
         if self._failures:
             self._log.write(Event.STORE_BACK, failures=self._failures)
             self._failures = 0
