--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -21,8 +21,8 @@
 class AttemptEnd(enum.Enum):
     """How an attempt ended without a response for its caller.
 
-    NOT_SENT and REFUSED prove that it has not run. FAILED is an error response of the endpoint,
-    which may have run it. LOST proves nothing.
+    NOT_SENT and REFUSED prove that it has not run. FAILED is an error response that the
+    endpoint sent after it ran the attempt. LOST proves nothing.
     """
 
     NOT_SENT = "not_sent"
--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -5,8 +5,8 @@
 revoked workspace is still served, while its operator believes that it is not.
 
 The configuration is therefore held under a lease. A response without a newer configuration, from
-the store or from a peer that asked the store, renews the lease from the time at which the request
-was sent, not from the response: a change that was made while the response was in transit is not
+the store or from a peer that asked the store, renews the lease from the time at which the store was
+asked, not from the response: a change that was made while the response was in transit is not
 in it. The lease ends before the bound for revoked keys. After that, requests with keys are
 refused until the store, or a peer that asked it, has responded again.
 """
--- a/wasabidrum/decisions/death_record.py
+++ b/wasabidrum/decisions/death_record.py
@@ -31,7 +31,7 @@
         self._reported.append((now, f"{fingerprint}/{self._crash}"))
 
     def suspects(self, now: float) -> tuple[str, ...]:
-        """Returns the entries to report, each as fingerprint, slash, number of the crash."""
+        """Returns what the sidecar reports, each as fingerprint, slash, number of the crash."""
         while self._reported and now - self._reported[0][0] > REPORTED_SECONDS:
             self._reported.popleft()
-        return tuple(entry for _, entry in self._reported)
+        return tuple(report for _, report in self._reported)
--- a/wasabidrum/decisions/idempotency_ledger.py
+++ b/wasabidrum/decisions/idempotency_ledger.py
@@ -72,7 +72,7 @@
         """
         now = self._advance(now)
         # The records of another incarnation are lost, or are held by a process that the list no
-        # longer names. That incarnation may have run the call already.
+        # longer names. If it ran the call there, running it here would be the second run.
         if key.incarnation != self._incarnation:
             return IdempotencyVerdict(Verdict.UNKNOWN, "key_of_another_incarnation")
         identity = record_id(workspace, key)
@@ -89,9 +89,9 @@
             code = "endpoint_leaving" if math.isinf(self._refused_issued_until) else "keys_full"
             return IdempotencyVerdict(Verdict.NOT_RUN, code)
         if len(self._records) >= self._max_records:
-            # There is no room for a record or a tombstone. The time stands for a tombstone of
-            # every key issued until now, so that "not run" also holds for a copy of this call
-            # that arrives when there is room again.
+            # There is no room for a record or a tombstone. Instead every key issued until now is
+            # refused, so that "not run" also holds for a copy of this call that arrives when
+            # there is room again.
             self._refused_issued_until = max(now, key.issued)
             return IdempotencyVerdict(Verdict.NOT_RUN, "keys_full")
         record = IdempotencyRecord(fingerprint, key.expires, KeyState.RUNNING)
--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -17,7 +17,7 @@
 MAX_ANSWER_BYTES = 25
 
 
-class World(stateful.RuleBasedStateMachine):
+class LedgerMachine(stateful.RuleBasedStateMachine):
     """Keys, copies of calls in transit, callers, and two slots whose incarnations are replaced.
 
     The machine simulates the network and the callers: a copy may be delivered at any later time,
@@ -147,7 +147,7 @@
         slot=strategies.sampled_from(("tally-1", "tally-2")),
         pick=strategies.integers(0, 99),
     )
-    def upset(self, what: str, slot: str, pick: int) -> None:
+    def disrupt(self, what: str, slot: str, pick: int) -> None:
         """Replaces an instance whose old process stays alive, crashes one, or starts its exit."""
         incarnation = sorted(self.ledgers)[pick % len(self.ledgers)]
         if what == "leave":
@@ -164,13 +164,13 @@
         assert all(count <= 1 for count in self.runs.values())
 
 
-WorldTest = World.TestCase
-WorldTest.settings = hypothesis.settings(
+LedgerMachineTest = LedgerMachine.TestCase
+LedgerMachineTest.settings = hypothesis.settings(
     max_examples=400, stateful_step_count=40, derandomize=True, deadline=None
 )
 
 
-class LedgerTest(unittest.TestCase):
+class IdempotencyLedgerTest(unittest.TestCase):
     """Cases that the state machine may not reach."""
 
     def test_a_clock_that_steps_back_makes_no_expired_key_valid(self) -> None:
--- a/wasabidrum/decisions/member_record.py
+++ b/wasabidrum/decisions/member_record.py
@@ -15,7 +15,7 @@
 
     Attributes:
       instance: The address in use.
-      listed: The entry of its slot in the list, or None if it is not listed.
+      listed: What the list contains for its slot, or None if it is not listed.
       unlisted_at: Since when it has been missing from the list.
       reported_leaving: Whether it has reported that it is leaving; holds for the whole incarnation.
       last_message_at: When its last message arrived at this process.
--- a/wasabidrum/decisions/member_update.py
+++ b/wasabidrum/decisions/member_update.py
@@ -23,7 +23,7 @@
       sequence: The sequence of the member's last status that the sender had received. The member
         refutes a suspicion with an update of its own that has a higher sequence.
       leaving: Whether the member accepts no new work.
-      instance: The addresses of the member; not sent of one that is suspected or dead.
+      instance: The addresses of the member; other members include them while it is alive.
     """
 
     name: str
--- a/wasabidrum/decisions/pause_detector.py
+++ b/wasabidrum/decisions/pause_detector.py
@@ -14,7 +14,9 @@
 
 
 class PauseDetector:
-    """Detects pauses of the process from the gaps between calls of its event loop.
+    """Detects pauses of the process from the time between its calls to observe.
+
+    Also records when another process last confirmed the revision in force.
 
     Attributes:
       pauses: Number of pauses so far.
--- a/wasabidrum/decisions/revision_tracker.py
+++ b/wasabidrum/decisions/revision_tracker.py
@@ -38,7 +38,7 @@
 
     Attributes:
       refusal: The highest invalid revision above the one in force, or None.
-      alarm: A conflict between contents of the same revision, or empty.
+      alarm: Describes a conflict between two contents of one revision; otherwise empty.
     """
 
     __slots__ = ("_revision", "_digest", "_digests", "refusal", "alarm")
--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -106,7 +106,7 @@
 
     @property
     def failing_since(self) -> float | None:
-        """When the present run of failed calls began, or None if the last call succeeded."""
+        """When the first of the present run of failed calls failed, or None without such a run."""
         return self._failing_since
 
     @property
