--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -14,8 +14,8 @@
 from wasabidrum.core.load import Load
 from wasabidrum.core.status import Status
 from wasabidrum.decisions import endpoint_subset
-from wasabidrum.decisions.member_readers import ReaderPlan
 from wasabidrum.decisions.member_table import MemberTable
+from wasabidrum.decisions.reader_plan import ReaderPlan
 from wasabidrum.peers import peer_client
 from wasabidrum.peers.configuration_follower import prepare_value
 from wasabidrum.peers.instance_roster import InstanceRoster
@@ -110,7 +110,7 @@
     copies = InstanceRoster()
     copies.take(InstanceList(1.0, tuple(make_fleet_list())))
     table = MemberTable("instance-0")
-    table.take_list(copies.instances, 0.0)
+    table.apply_list(copies.instances, 0.0)
     plan = ReaderPlan(record.instance for record in table.usable(0.0))
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/wasabidrum/decisions/endpoint_test.py
+++ b/wasabidrum/decisions/endpoint_test.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies
 
 from . import backoff
-from .death_record import MOST_TOLD, TOLD_SECONDS, DeathRecord
+from .death_record import MAX_REPORTED, REPORTED_SECONDS, DeathRecord
 from .endpoint_health import EndpointHealth, Health
 from .endpoint_limit import MAX_LIMIT, MIN_LIMIT, EndpointLimit
 from .endpoint_state import EndpointState
 from .poison import BLOCK_SECONDS, SUSPECT_LIFETIME_SECONDS, PoisonGuard
 from .prefix_affinity import PrefixRing
-from .retry_budget import EARNED_BY_REQUEST, FIRST_PURSE, RetryBudget
+from .retry_budget import EARNED_PER_REQUEST, INITIAL_BALANCE, RetryBudget
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
 SIGNALS = strategies.lists(
@@ -92,7 +92,7 @@
         health = self.make_slow()
         self.assertIs(health.health, Health.SLOW)
         self.assertFalse(health.may_receive(1.0))
-        later = 1.0 + backoff.LONGEST_SECONDS
+        later = 1.0 + backoff.MAX_DELAY_SECONDS
         self.assertTrue(health.may_receive(later))
         health.record_placed()
         self.assertFalse(health.may_receive(later))
@@ -101,10 +101,10 @@
         """The caller of the only probe leaves. If that probe counted as running forever, the
         endpoint would never return to service, without any visible reason."""
         health = self.make_slow()
-        later = 1.0 + backoff.LONGEST_SECONDS
+        later = 1.0 + backoff.MAX_DELAY_SECONDS
         health.record_placed()
         health.end_probe(later)
-        self.assertTrue(health.may_receive(later + backoff.LONGEST_SECONDS))
+        self.assertTrue(health.may_receive(later + backoff.MAX_DELAY_SECONDS))
 
 
 class SilenceTest(unittest.TestCase):
@@ -153,7 +153,7 @@
                 requests += 1
             else:
                 retries += budget.spend(0)
-            self.assertLessEqual(retries, EARNED_BY_REQUEST * requests + FIRST_PURSE + 1e-6)
+            self.assertLessEqual(retries, EARNED_PER_REQUEST * requests + INITIAL_BALANCE + 1e-6)
 
     def test_a_new_entry_can_retry_after_an_engine_crash(self) -> None:
         """An entry was restarted a second ago, and an engine crashes with four of its
@@ -207,9 +207,9 @@
         per second that a daemon has for control traffic."""
         record = DeathRecord()
         for number in range(100):
-            record.take_lost(f"{number:016x}", number * 0.1)
-        self.assertEqual(len(record.suspects(10.0)), MOST_TOLD)
-        self.assertEqual(record.suspects(10.0 + TOLD_SECONDS), ())
+            record.record_lost(f"{number:016x}", number * 0.1)
+        self.assertEqual(len(record.suspects(10.0)), MAX_REPORTED)
+        self.assertEqual(record.suspects(10.0 + REPORTED_SECONDS), ())
 
 
 class AffinityTest(unittest.TestCase):
--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -59,8 +59,8 @@
         unknown = min(self.heard_at + UNKNOWN_NAMING_SECONDS, self.before + bound)
         counted_from = self.after
         # If the bound had passed before the outage began, the outage does not extend it.
-        if self.after + bound > outage.began:
-            counted_from = max(self.after, outage.over)
+        if self.after + bound > outage.started_at:
+            counted_from = max(self.after, outage.ended_at)
         return max(counted_from + bound, unknown)
 
 
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -11,7 +11,7 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.entry_roster import MEET_SECONDS, EntryRoster, Place
+from ..decisions.entry_roster import EXCHANGE_INTERVAL_SECONDS, EntryRoster, HostPort
 from ..decisions.poison import PoisonGuard
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -56,7 +56,7 @@
         log: EventLog,
     ) -> None:
         listen = deployment.peers_listen
-        self._own: Place = (listen.host, listen.port)
+        self._own: HostPort = (listen.host, listen.port)
         self._data_centre = deployment.data_centre
         self._state = state
         self._guard = guard
@@ -75,13 +75,13 @@
         return self._roster.count(awake_seconds())
 
     @property
-    def own(self) -> Place:
+    def own(self) -> HostPort:
         """Where this entry listens for others, by which they know it."""
         return self._own
 
-    def nearby(self) -> list[Place]:
+    def nearby(self) -> list[HostPort]:
         """Returns the entries of this one's data centre, itself included, in an agreed order."""
-        return self._roster.within(self._data_centre, awake_seconds())
+        return self._roster.in_data_centre(self._data_centre, awake_seconds())
 
     def data_centres(self) -> dict[str, str]:
         """Returns the data centres of all entries by their host, this one included."""
@@ -91,7 +91,7 @@
 
     def take_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Takes where some entries listen, by newer settings."""
-        self._roster.take_seeds(tuple((seed.host, seed.port) for seed in seeds))
+        self._roster.replace_seeds(tuple((seed.host, seed.port) for seed in seeds))
 
     async def start(self) -> None:
         """Listens and starts the tasks."""
@@ -116,7 +116,7 @@
         """See EntryServiceOwner."""
         whole, changes = self._state.changes_after(message.after)
         now = awake_seconds()
-        since = self._state.outages.unanswered_since
+        since = self._state.outages.failing_since
         return ChangesReply(
             revision=self._state.revision,
             age=self._state.lease.age(now),
@@ -158,20 +158,20 @@
                 reply = await self._call(address, entry_messages.MEET_PATH, self._meet(), Meet)
                 if reply is not None:
                     self._take_known(reply)
-            await asyncio.sleep(MEET_SECONDS * self._rng.uniform(0.7, 1.0))
+            await asyncio.sleep(EXCHANGE_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.0))
 
     def _meet(self) -> Meet:
         now = awake_seconds()
         addresses = tuple(
-            EntryAddress(host, port, now - known.heard_at, known.data_centre)
-            for (host, port), known in self._roster.latest(now)
+            EntryAddress(host, port, now - known.seen_at, known.data_centre)
+            for (host, port), known in self._roster.most_recent(now)
         )
         return Meet(EntryAddress(*self._own, 0.0, self._data_centre), addresses)
 
     def _take_known(self, message: Meet) -> None:
         now = awake_seconds()
         for known in (message.own, *message.known):
-            self._roster.take((known.host, known.port), now - known.age, known.data_centre)
+            self._roster.record_seen((known.host, known.port), now - known.age, known.data_centre)
 
     async def _ask_for_ever(self) -> None:
         """Asks others for what the store does not tell this process."""
@@ -195,7 +195,7 @@
         while not self._state.revision and awake_seconds() < ends:
             await asyncio.sleep(ASK_EVERY_SECONDS / 8)
 
-    async def _ask(self, address: Place) -> None:
+    async def _ask(self, address: HostPort) -> None:
         asked_at = awake_seconds()
         request = FetchChanges(self._state.revision)
         timeout = ASK_TIMEOUT_SECONDS if request.after else WHOLE_TIMEOUT_SECONDS
@@ -205,7 +205,7 @@
         if reply is None:
             return
         if reply.unanswered > 0.0:
-            self._state.outages.record_peer(asked_at - reply.unanswered)
+            self._state.outages.record_peer_failure(asked_at - reply.unanswered)
         now = asyncio.get_running_loop().time()
         newer = reply.revision >= self._state.revision and reply.revision > 0
         if newer:
@@ -237,7 +237,7 @@
 
     async def _call(
         self,
-        address: Place,
+        address: HostPort,
         path: str,
         message: object,
         kind: type,
@@ -251,5 +251,5 @@
             self._roster.record_failure(address, awake_seconds())
             self._log.write(Event.PEER_SILENT, peer=f"{host}:{port}", reason=str(error)[:120])
             return None
-        self._roster.take(address, awake_seconds())
+        self._roster.record_seen(address, awake_seconds())
         return reply
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -104,7 +104,7 @@
                 return
             except AttemptError as error:
                 failure = error.code
-                self._history.take(error.end)
+                self._history.record(error.end)
                 self._note_end(placed, attempt, error)
                 self._tried |= {placed.endpoint.id}
                 hopeless = attempt.recalled is RecallReason.CALLER_LEAVING
@@ -185,7 +185,7 @@
         in the same moment.
         """
         placer = self._gateway.placer
-        if not self._history.may_follow_a_run() or not self._may_retry():
+        if not self._history.allows_retry_of_running() or not self._may_retry():
             return False
         reserved = placer.placed_by(self._choose(self._tried | {placed.endpoint.id}, moved=True))
         if reserved is None or not self._spend_retry():
@@ -202,7 +202,7 @@
             self._reserved = None
 
     def _may_go_on(self) -> bool:
-        return self._history.may_go_on() and self._may_retry() and self._spend_retry()
+        return self._history.allows_retry() and self._may_retry() and self._spend_retry()
 
     def _may_retry(self) -> bool:
         now = asyncio.get_running_loop().time()
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -6,8 +6,8 @@
 from ..core.placing_limit import PlacingLimit
 from ..core.published import EngineFigures, PublishedConfiguration
 from ..core.store_change import StoreChange, StoreReading
-from ..decisions.endpoint_book import EndpointBook
-from ..decisions.evidence_lease import EvidenceLease
+from ..decisions.configuration_lease import ConfigurationLease
+from ..decisions.endpoint_registry import EndpointRegistry
 from ..decisions.route_table import RouteTable
 from ..decisions.store_outage import StoreOutages
 from ..decisions.version_floor import VersionFloor
@@ -48,8 +48,8 @@
         self._whole_after = 0
         self.revision = 0
         self.routes: RouteTable | None = None
-        self.endpoints = EndpointBook()
-        self.lease = EvidenceLease(bounds.revocation)
+        self.endpoints = EndpointRegistry()
+        self.lease = ConfigurationLease(bounds.revocation)
         self.outages = StoreOutages(bounds.settling)
 
     @property
@@ -153,7 +153,7 @@
             for change in reading.changes
             if kind_of(change.key) is ItemKind.ENDPOINT
         }
-        for endpoint_id in self.endpoints.take_listed(listed, now):
+        for endpoint_id in self.endpoints.apply_listing(listed, now):
             self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="not listed")
         kept = {change.key for change in reading.changes}
         self._items = {key: item for key, item in self._items.items() if key in kept}
@@ -169,7 +169,7 @@
         elif kind is ItemKind.CONFIGURATION and change.value is not None:
             self._take_configuration(change)
         elif kind is ItemKind.VERSION and change.value is not None:
-            self._take_version(change, max(after, self.lease.dated))
+            self._take_version(change, max(after, self.lease.confirmed_at))
 
     def tick(self, now: float) -> None:
         """Ends what only time ends."""
@@ -232,7 +232,7 @@
 
     def _take_endpoint(self, endpoint_id: str, change: StoreChange, now: float) -> None:
         if change.value is None:
-            if self.endpoints.take_removal(endpoint_id, change.revision, now):
+            if self.endpoints.apply_removal(endpoint_id, change.revision, now):
                 self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="removed")
             return
         try:
@@ -244,7 +244,7 @@
                 Event.ENDPOINT_UNREADABLE, endpoint=endpoint_id, reason=str(error)[:300]
             )
             return
-        if self.endpoints.take(endpoint, change.revision):
+        if self.endpoints.apply(endpoint, change.revision):
             self._log.write(
                 Event.ENDPOINT_LISTED,
                 endpoint=endpoint_id,
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -4,7 +4,11 @@
 
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
-from ..decisions.evidence_lease import PROMPT_SECONDS, prompt_after, quiet_until
+from ..decisions.configuration_lease import (
+    REPLY_TOLERANCE_SECONDS,
+    earliest_change_at,
+    unchanged_until,
+)
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.store_client import StoreClient, Watched
@@ -62,7 +66,7 @@
 
     def _note_standstill(self) -> None:
         # The tick is late by as much as the process was suspended, or busy with something else.
-        if awake_seconds() - self._ticked_at > TICK_SECONDS + PROMPT_SECONDS:
+        if awake_seconds() - self._ticked_at > TICK_SECONDS + REPLY_TOLERANCE_SECONDS:
             self._held_up = True
 
     async def _step(self) -> None:
@@ -81,23 +85,25 @@
             self._take_answer()
             self._note_standstill()
             answered_at = awake_seconds()
-            after = prompt_after(asked_at, answered_at, WATCH_SECONDS, self._held_up)
+            after = earliest_change_at(asked_at, answered_at, WATCH_SECONDS, self._held_up)
             after = max(after, self._quiet_until)
             state.take_changes(reading, asyncio.get_running_loop().time(), after)
             self._quiet_until = asked_at
             if not reading.changes:
-                self._quiet_until = quiet_until(asked_at, answered_at, WATCH_SECONDS, self._held_up)
+                self._quiet_until = unchanged_until(
+                    asked_at, answered_at, WATCH_SECONDS, self._held_up
+                )
         state.lease.renew(asked_at)
         if reading.changes:
             await asyncio.sleep(GATHER_SECONDS)
 
     def _take_answer(self) -> None:
-        self._state.outages.record_answer()
+        self._state.outages.record_response()
         if self._failures:
             self._log.write(Event.STORE_BACK, failures=self._failures)
             self._failures = 0
             # What disappeared while nobody could be asked is judged from now on.
-            self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
+            self._state.endpoints.record_store_failure(asyncio.get_running_loop().time())
 
     async def _take_failure(self, error: CodedError) -> None:
         if error.code == "history_lost":
@@ -112,7 +118,7 @@
                 awake_seconds(),
                 refused,
                 self._held_up,
-                self._state.lease.dated,
+                self._state.lease.confirmed_at,
             )
         if not self._failures:
             self._log.write(
@@ -121,5 +127,5 @@
                 evidence_age=round(self._state.lease.age(awake_seconds()), 3),
             )
         self._failures += 1
-        self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
+        self._state.endpoints.record_store_failure(asyncio.get_running_loop().time())
         await asyncio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * self._failures))
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -9,7 +9,7 @@
 from ..core.config_value import ConfigValue
 from ..core.errors import CodedError
 from ..core.fleet import FleetRevision
-from ..decisions.revision_book import Claim, RevisionBook
+from ..decisions.revision_tracker import ClaimVerdict, RevisionTracker
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.configuration_service import ConfigurationService
@@ -46,7 +46,7 @@
         self._rendering = asyncio.Lock()
         self._old_offered = 0
         self._alarm = ""
-        self.book = RevisionBook()
+        self.book = RevisionTracker()
         self.on_change: collections.abc.Callable[[], None] = ignore_change
         self.on_answer: collections.abc.Callable[[float], None] = ignore_answer
 
@@ -90,15 +90,15 @@
             else:
                 await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
-    def judge(self, revision: int, digest: str) -> Claim:
+    def judge(self, revision: int, digest: str) -> ClaimVerdict:
         """Takes somebody's word for a revision; says whether its value is wanted."""
-        claim = self.book.judge(revision, digest)
+        claim = self.book.assess_claim(revision, digest)
         self._tell_alarm()
         return claim
 
     def take_alarm(self, revision: int, alarm: str) -> None:
         """Takes an alarm that a peer with a revision in force raised."""
-        self.book.take_alarm(revision, alarm)
+        self.book.adopt_alarm(revision, alarm)
         self._tell_alarm()
 
     async def offer(self, value: ConfigValue, compressed: bytes = b"") -> bool:
@@ -107,12 +107,12 @@
             claim = self.judge(value.revision, value.digest)
             # A service restored from an old copy offers an old revision. Without this check
             # the fleet would go back to it, and operators would see a change undo itself.
-            if claim is Claim.OLD and value.revision != self._old_offered:
+            if claim is ClaimVerdict.OLD and value.revision != self._old_offered:
                 self._old_offered = value.revision
                 self._log.write(
                     Event.REVISION_OLD_OFFERED, revision=value.revision, in_force=self.revision
                 )
-            if claim is not Claim.WANTED:
+            if claim is not ClaimVerdict.WANTED:
                 return False
             try:
                 revision, compressed = await self._prepare(value, compressed)
--- a/wasabidrum/peers/member_watch.py
+++ b/wasabidrum/peers/member_watch.py
@@ -40,9 +40,9 @@
         known = self._table.get(name)
         was = known.state if known is not None else None
         if push.status is not None:
-            self._table.take_status(status, now)
+            self._table.apply_status(status, now)
         else:
-            self._table.take_beat(name, push.sequence, now)
+            self._table.apply_heartbeat(name, push.sequence, now)
         if was is None:
             self._log.write(Event.MEMBER_JOINED, member=name)
         elif was is not MemberState.ALIVE and known.state is MemberState.ALIVE:
@@ -52,7 +52,7 @@
         """Takes what a member says of others; what it says wrongly of this process is refuted."""
         refute = False
         for news in told:
-            refute = self._table.take_news(news, now) or refute
+            refute = self._table.apply_update(news, now) or refute
         if refute:
             self.news.add(self._own_news())
         self._pass_on()
@@ -66,7 +66,7 @@
     def take_list(self, instances: collections.abc.Collection[Instance], now: float) -> None:
         """Takes the platform's list."""
         implausible = self._table.list_is_implausible
-        self._table.take_list(instances, now)
+        self._table.apply_list(instances, now)
         if self._table.list_is_implausible and not implausible:
             self._log.write(Event.LIST_IMPLAUSIBLE, listed=len(instances))
 
@@ -77,7 +77,7 @@
         self._pass_on()
 
     def _pass_on(self) -> None:
-        fresh = self._table.take_news_to_pass_on()
+        fresh = self._table.drain_updates()
         for news in fresh:
             self.news.add(news)
         if fresh:
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_asker.py
@@ -6,8 +6,8 @@
 from ..core.awake_clock import awake_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance
-from ..decisions.clock_gap import ClockGap
 from ..decisions.member_table import MemberTable
+from ..decisions.pause_detector import PauseDetector
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from . import peer_client
@@ -27,7 +27,7 @@
         table: MemberTable,
         follower: ConfigurationFollower,
         fetcher: ClaimFetcher,
-        gap: ClockGap,
+        gap: PauseDetector,
         log: EventLog,
     ) -> None:
         self._table = table
@@ -48,7 +48,7 @@
         answered = sum(answers)
         await self._fetcher.wait()
         if answered and self._follower.revision >= self._follower.book.highest:
-            self._gap.confirm(asked_at, awake_seconds())
+            self._gap.record_reply(asked_at, awake_seconds())
         self._log.write(
             Event.PEERS_ASKED,
             asked=len(asked),
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -11,11 +11,11 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.instance import Instance
 from ..core.status import Status
-from ..decisions.clock_gap import ClockGap
-from ..decisions.member_readers import ReaderPlan
-from ..decisions.member_record import instance_from
+from ..decisions.member_record import instance_from_status
 from ..decisions.member_table import MemberTable
 from ..decisions.member_update import MemberState, MemberUpdate
+from ..decisions.pause_detector import PauseDetector
+from ..decisions.reader_plan import ReaderPlan
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..platform.instance_directory import InstanceDirectory
@@ -63,7 +63,7 @@
         self._account = account
         self._log = log
         self._tasks = BackgroundTasks(on_failure)
-        self._gap = ClockGap(awake_seconds())
+        self._gap = PauseDetector(awake_seconds())
         self._noticed_seconds = 0.0
         self._inbound: set[PeerLink] = set()
         self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.lose)
@@ -181,7 +181,7 @@
             self.lists.take_claim(push.list_as_of, push.list_digest, status.host, status.peer_port)
         self._members.take_news(push.news, now)
         if status.revision <= self._follower.revision:
-            self._gap.hear(awake_seconds())
+            self._gap.record_push(awake_seconds())
 
     def report(self) -> ControlReport:
         """Returns how this daemon stands among the others."""
@@ -263,7 +263,7 @@
             self.wake_all()
 
     def _make_plan(self, now: float) -> None:
-        wanted = self._plans.make(instance_from(self._account()), now)
+        wanted = self._plans.make(instance_from_status(self._account()), now)
         self._outbound.keep(wanted, now)
 
     def _notice_pause(self, now: float) -> None:
@@ -279,7 +279,7 @@
         # suspension. Moved on by more than it counted, these dates would lie in the future, and
         # the dead would be taken for alive for as long.
         seconds = min(paused, counted)
-        self.table.forgive(seconds)
+        self.table.extend_time_limits(seconds)
         self._outbound.forgive(seconds)
         for link in self._inbound:
             link.heard_at += seconds
@@ -296,4 +296,4 @@
         self.wake_all()
 
     def _take_answer(self, asked_at: float) -> None:
-        self._gap.confirm(asked_at, awake_seconds())
+        self._gap.record_reply(asked_at, awake_seconds())
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -7,10 +7,10 @@
 from ..core.background_tasks import BackgroundTasks
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from ..decisions.keyed_key import KeyedKey
-from ..decisions.keyed_ledger import KeyedLedger, identify
-from ..decisions.keyed_record import KeptAnswer
-from ..decisions.keyed_verdict import KeyedVerdict, Verdict
+from ..decisions.idempotency_key import IdempotencyKey
+from ..decisions.idempotency_ledger import IdempotencyLedger, record_id
+from ..decisions.idempotency_record import StoredAnswer
+from ..decisions.idempotency_verdict import IdempotencyVerdict, Verdict
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -25,7 +25,7 @@
 
     __slots__ = ("_ledger", "_tasks", "_log", "_started", "_running")
 
-    def __init__(self, ledger: KeyedLedger, tasks: BackgroundTasks, log: EventLog) -> None:
+    def __init__(self, ledger: IdempotencyLedger, tasks: BackgroundTasks, log: EventLog) -> None:
         self._ledger = ledger
         self._tasks = tasks
         self._log = log
@@ -48,10 +48,15 @@
 
     def leave(self) -> None:
         """Refuses from now on every call that has not started."""
-        self._ledger.leave()
+        self._ledger.refuse_new_keys()
 
     async def run(
-        self, workspace: str, key: KeyedKey, fingerprint: bytes, start_before: float, work: Work
+        self,
+        workspace: str,
+        key: IdempotencyKey,
+        fingerprint: bytes,
+        start_before: float,
+        work: Work,
     ) -> ServiceReply:
         """Runs a call, or waits for or returns the answer of an earlier copy.
 
@@ -62,7 +67,7 @@
           CodedError: No whole answer; the outcome is proved.
         """
         verdict = self._ledger.begin(workspace, key, fingerprint, self.uptime, start_before)
-        identity = identify(workspace, key)
+        identity = record_id(workspace, key)
         if verdict.verdict is Verdict.RUN:
             self._log.write(Event.CALL_STARTED, workspace=workspace, key=str(key))
             # A task of its own: the run and its record must outlive the connection that the
@@ -93,7 +98,7 @@
         except CodedError as error:
             raise CodedError(error.code, str(error), error.http_status, error.outcome) from error
 
-    async def _run(self, workspace: str, key: KeyedKey, work: Work) -> ServiceReply:
+    async def _run(self, workspace: str, key: IdempotencyKey, work: Work) -> ServiceReply:
         try:
             reply = await work()
         except CodedError as error:
@@ -105,7 +110,7 @@
         except BaseException:
             self._ledger.end_unknown(workspace, key, "service_lost", self.uptime)
             raise
-        answer = KeptAnswer(reply.status, reply.content_type, reply.body)
+        answer = StoredAnswer(reply.status, reply.content_type, reply.body)
         self._ledger.end_done(workspace, key, answer, self.uptime)
         return reply
 
@@ -115,7 +120,7 @@
     return ServiceReply(reply.status, reply.content_type, reply.body, replayed=True)
 
 
-def replay(answer: KeptAnswer) -> ServiceReply:
+def replay(answer: StoredAnswer) -> ServiceReply:
     """Returns a kept answer.
 
     Raises:
@@ -127,7 +132,7 @@
     return ServiceReply(answer.status, answer.content_type, answer.body, replayed=True)
 
 
-def refusal(verdict: KeyedVerdict) -> CodedError:
+def refusal(verdict: IdempotencyVerdict) -> CodedError:
     """Returns the error that tells a verdict."""
     if verdict.verdict is Verdict.NOT_RUN:
         return CodedError(verdict.code, "not run, and never will be with this key", 503)
