--- a/wasabidrum/gateway/__init__.py
+++ b/wasabidrum/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry role where the platform publishes routes: requests are passed on unchanged."""
+"""The entry role for platforms that publish routes; it forwards requests unchanged."""
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one endpoint, and its answer passed on."""
+"""One attempt: sends a request to one endpoint and passes the reply on to the caller."""
 
 import asyncio
 import collections.abc
@@ -16,24 +16,30 @@
 from ..platform import heads
 from . import endpoint_connection
 from .call import Call, StreamProgress
+from .complete_reply import CompleteReply
 from .endpoint_connection import EndpointConnection, Part, PartKind
-from .event_stream import EventStream
-from .placement import Placed
-from .whole_reply import WholeReply
+from .event_stream import EventStreamBuffer
+from .placement import Placement
 
 if typing.TYPE_CHECKING:
     from .daemon import Gateway
     from .exchange import CallerExchange
 
-# A connection within the fleet opens in some milliseconds; a machine that does not answer in
-# this time is dark or drops connections, and another one can still answer in time.
-CONNECT_SECONDS = 0.25
+# A connection within the fleet opens in a few milliseconds. An instance that does not answer
+# within this time is unreachable, and another one can still answer before the deadline.
+CONNECT_TIMEOUT_SECONDS = 0.25
 
 
 class AttemptError(Exception):
-    """An attempt ended without an answer that can be passed on."""
+    """An attempt that ended without a reply for the caller.
 
-    def __init__(self, end: AttemptEnd, code: str, reply: WholeReply | None = None) -> None:
+    Attributes:
+      end: What the failure says about whether the request ran.
+      code: The error code.
+      reply: The endpoint's complete error reply, if there was one.
+    """
+
+    def __init__(self, end: AttemptEnd, code: str, reply: CompleteReply | None = None) -> None:
         super().__init__(code)
         self.end = end
         self.code = code
@@ -44,12 +50,26 @@
     """Sends a request to one endpoint.
 
     Attributes:
-      number: Which attempt of its request it is, by those that were sent.
-      began: When it was placed, by the event loop's clock.
+      number: The number of the attempt among those of its request that were sent, from one.
+      started_at: When the request was placed, by the event loop's clock.
     """
 
-    __slots__ = ("_exchange", "_gateway", "_call", "_progress", "_placed", "_answered")
-    __slots__ += ("_connection", "_recalled", "_reserve", "_heard_at", "number", "began")
+    __slots__ = (
+        "_exchange",
+        "_gateway",
+        "_call",
+        "_progress",
+        "_placement",
+        "_first_event_received",
+    )
+    __slots__ += (
+        "_connection",
+        "_recall_reason",
+        "_reserve",
+        "_last_activity_at",
+        "number",
+        "started_at",
+    )
 
     def __init__(
         self,
@@ -57,169 +77,172 @@
         gateway: "Gateway",
         call: Call,
         progress: StreamProgress,
-        placed: Placed,
+        placement: Placement,
         number: int,
-        reserve: collections.abc.Callable[[Placed], bool],
+        reserve: collections.abc.Callable[[Placement], bool],
     ) -> None:
         self._exchange = exchange
         self._gateway = gateway
         self._call = call
         self._progress = progress
-        self._placed = placed
-        # Whether its first event came.
-        self._answered = False
+        self._placement = placement
+        self._first_event_received = False
         self._connection: EndpointConnection | None = None
-        # Why it does not go on here; None while it does.
-        self._recalled: RecallReason | None = None
+        self._recall_reason: RecallReason | None = None
         self._reserve = reserve
         self.number = number
-        self.began = self._heard_at = asyncio.get_running_loop().time()
+        self.started_at = self._last_activity_at = asyncio.get_running_loop().time()
 
     @property
-    def placed(self) -> Placed:
-        """Where it was sent, and on which weights."""
-        return self._placed
+    def placement(self) -> Placement:
+        """The endpoint it is sent to, and the version of the weights that must answer."""
+        return self._placement
 
     @property
     def repeatable(self) -> bool:
-        """Whether its request may run more than once."""
+        """Whether the request may run more than once."""
         return self._call.route.idempotent
 
     @property
-    def begun(self) -> bool:
-        """Whether something of an answer came, read by now or not."""
-        return self._connection is not None and self._connection.answering
+    def response_started(self) -> bool:
+        """Whether a part of the reply's body has arrived, even if it was not read yet."""
+        return self._connection is not None and self._connection.body_started
 
     @property
-    def recalled(self) -> RecallReason | None:
-        """Why it was recalled, or None."""
-        return self._recalled
+    def recall_reason(self) -> RecallReason | None:
+        """Why the attempt was recalled from its endpoint; None if it was not."""
+        return self._recall_reason
 
     @property
-    def tells_beginning(self) -> bool:
-        """Whether its answer begins when its endpoint begins to work on it."""
+    def streams_response(self) -> bool:
+        """Whether the reply starts as soon as the endpoint starts to work on the request."""
         return self._call.route.kind is RouteKind.STREAM
 
     @property
-    def heard_at(self) -> float:
-        """When something came of it, or it was placed, by the event loop's clock."""
-        return self._heard_at
+    def last_activity_at(self) -> float:
+        """When the last event arrived, or else the request was placed, by the loop's clock."""
+        return self._last_activity_at
 
     @property
-    def leaves_in(self) -> float:
-        """The seconds until its caller leaves; infinite once something was passed on."""
+    def seconds_until_disconnect(self) -> float:
+        """Seconds until the caller will disconnect; infinite once it has received something."""
         if self._exchange.streaming:
             return float("inf")
-        return self._call.leaves_in(self._progress.last_event_at)
+        return self._call.seconds_until_disconnect(self._progress.last_event_at)
 
     def reserve_elsewhere(self) -> bool:
-        """Reserves a place at another endpoint that may go on with it, if there is one."""
-        return self._recalled is None and self._reserve(self._placed)
+        """Reserves a place for the request at another endpoint; returns whether there is one."""
+        return self._recall_reason is None and self._reserve(self._placement)
 
     def recall(self, reason: RecallReason) -> None:
-        """Drops the request where it is; see AttemptsInProgress."""
-        self._recalled = reason
+        """Withdraws the request from its endpoint; see AttemptsInProgress."""
+        self._recall_reason = reason
         if self._connection is not None:
-            self._connection.break_off()
+            self._connection.abort()
 
     async def run(self) -> None:
-        """Returns once the answer was passed on.
+        """Sends the request and returns once the reply was passed on.
 
         Raises:
-          AttemptError: There was none that can be.
+          AttemptError: There was no reply that can be passed on.
         """
-        placed = self._placed
+        placement = self._placement
         prompt = self._call.head.prompt_tokens
         self._gateway.attempts.add(self)
         try:
-            endpoint = placed.endpoint
-            timeout = min(CONNECT_SECONDS, self._call.left)
+            endpoint = placement.endpoint
+            timeout = min(CONNECT_TIMEOUT_SECONDS, self._call.seconds_left)
             try:
                 self._connection = await endpoint_connection.connect(
                     endpoint.host, endpoint.port, timeout
                 )
             except CodedError as error:
                 raise AttemptError(AttemptEnd.NOT_SENT, error.code) from error
-            await self._exchange_with(self._connection)
-            self._gateway.placer.record_success(placed)
+            await self._send_and_relay(self._connection)
+            self._gateway.placer.record_success(placement)
         except (asyncio.CancelledError, iostream.StreamClosedError):
-            # Its caller has left. Were it a probe that is waited for, there would be no other,
-            # and the endpoint would stay out of service.
-            self._gateway.placer.record_no_verdict(placed)
+            # The caller has disconnected. If this attempt was a health probe, the probe must end
+            # here: no other is sent while one is pending, and the endpoint would stay ejected.
+            self._gateway.placer.record_inconclusive_end(placement)
             raise
         finally:
             self._gateway.attempts.discard(self)
-            placed.load.ended(prompt, self._answered)
+            placement.load.ended(prompt, self._first_event_received)
             if self._connection is not None:
                 self._connection.close()
 
-    async def _exchange_with(self, connection: EndpointConnection) -> None:
-        call, placed = self._call, self._placed
-        # Looked at again just before the request leaves: it may have waited for a connection,
-        # or this process may have slept, since its key and its weights were judged.
+    async def _send_and_relay(self, connection: EndpointConnection) -> None:
+        call, placement = self._call, self._placement
+        # The API key and the weights were checked before the connection was opened. Both are
+        # checked again just before the request is sent, because opening the connection may have
+        # taken long, or this process may have been suspended.
         if call.workspace and not self._gateway.state.lease.holds(awake_seconds()):
             raise AttemptError(AttemptEnd.NOT_SENT, "not_ready")
-        if not self._gateway.attempts.may_begin(placed):
-            self._recalled = RecallReason.WEIGHTS_OVERDUE
-        if self._recalled is not None:
-            raise AttemptError(AttemptEnd.NOT_SENT, self._recalled.value)
+        if not self._gateway.attempts.may_begin(placement):
+            self._recall_reason = RecallReason.WEIGHTS_OVERDUE
+        if self._recall_reason is not None:
+            raise AttemptError(AttemptEnd.NOT_SENT, self._recall_reason.value)
         headers = heads.write_forwarded(
             call.head,
-            placed.endpoint,
+            placement.endpoint,
             call.workspace,
-            call.left,
+            call.seconds_left,
             len(call.body),
-            self._progress.last_event,
-            placed.weights,
+            self._progress.last_event_id,
+            placement.weights,
             None,
         )
         sent_at = asyncio.get_running_loop().time()
         connection.send(call.head.method, call.head.target, headers, call.body)
-        head = await self._read_head(connection)
+        head = await self._read_reply_head(connection)
         if call.route.kind is RouteKind.STREAM and head.success:
             await self._relay_stream(connection, head)
             return
-        reply = await self._read_whole(connection, head)
+        reply = await self._read_complete_reply(connection, head)
         if not head.success:
             raise AttemptError(AttemptEnd.FAILED, f"status_{head.status}", reply)
-        placed.load.record_run(asyncio.get_running_loop().time() - sent_at)
+        placement.load.record_run(asyncio.get_running_loop().time() - sent_at)
         if self._exchange.streaming:
             raise AttemptError(AttemptEnd.LOST, "not_a_stream")
-        self._exchange.answer_whole(reply, endpoint=placed.endpoint.id, attempts=self.number)
+        self._exchange.send_reply(reply, endpoint=placement.endpoint.id, attempts=self.number)
 
     async def _next_part(self, connection: EndpointConnection) -> Part:
         try:
-            part = await waiting.wait_for(connection.next_part(), max(0.001, self._call.left))
+            part = await waiting.wait_for(
+                connection.next_part(), max(0.001, self._call.seconds_left)
+            )
         except TimeoutError as error:
             raise AttemptError(AttemptEnd.LOST, "timeout") from error
-        if part.kind is PartKind.BROKEN and self._recalled is not None:
-            raise AttemptError(AttemptEnd.LOST, self._recalled.value)
+        if part.kind is PartKind.BROKEN and self._recall_reason is not None:
+            raise AttemptError(AttemptEnd.LOST, self._recall_reason.value)
         return part
 
-    async def _read_head(self, connection: EndpointConnection) -> ReplyHead:
+    async def _read_reply_head(self, connection: EndpointConnection) -> ReplyHead:
         part = await self._next_part(connection)
         if part.kind is not PartKind.HEAD:
             raise AttemptError(AttemptEnd.LOST, "answer_lost")
         head = part.head
         if head.not_executed and not head.success:
             raise AttemptError(AttemptEnd.REFUSED, f"refused_{head.status}")
-        crossed = head.request_id and head.request_id != self._call.head.request_id
-        if crossed or head.encoded or (head.success and not head.signed):
-            raise AttemptError(AttemptEnd.LOST, "answer_crossed" if crossed else "answer_broken")
+        mismatched = head.request_id and head.request_id != self._call.head.request_id
+        if mismatched or head.encoded or (head.success and not head.signed):
+            raise AttemptError(AttemptEnd.LOST, "answer_crossed" if mismatched else "answer_broken")
         return head
 
-    async def _read_whole(self, connection: EndpointConnection, head: ReplyHead) -> WholeReply:
-        parts = []
+    async def _read_complete_reply(
+        self, connection: EndpointConnection, head: ReplyHead
+    ) -> CompleteReply:
+        chunks = []
         while True:
             part = await self._next_part(connection)
             if part.kind is PartKind.END:
-                return WholeReply(head, b"".join(parts))
+                return CompleteReply(head, b"".join(chunks))
             if part.kind is PartKind.BROKEN:
                 raise AttemptError(AttemptEnd.LOST, "answer_cut")
-            parts.append(part.content)
+            chunks.append(part.content)
 
     async def _relay_stream(self, connection: EndpointConnection, head: ReplyHead) -> None:
-        stream = EventStream()
+        buffer = EventStreamBuffer()
         while True:
             part = await self._next_part(connection)
             if part.kind is PartKind.BROKEN:
@@ -227,38 +250,38 @@
             if part.kind is PartKind.END:
                 break
             try:
-                events = stream.take(part.content)
+                events = buffer.feed(part.content)
             except ValueError as error:
                 raise AttemptError(AttemptEnd.LOST, "answer_broken") from error
             if not events.count:
                 continue
-            await self._note_event(head)
-            self._progress.last_event = events.last_id or self._progress.last_event
-            self._progress.events += events.count
+            await self._record_events(head)
+            self._progress.last_event_id = events.last_event_id or self._progress.last_event_id
+            self._progress.event_count += events.count
             await self._exchange.write_events(events.content)
-        if stream.incomplete:
+        if buffer.incomplete:
             raise AttemptError(AttemptEnd.LOST, "stream_cut")
         if not self._exchange.streaming:
-            await self._exchange.begin_stream(head)
-        first = self._progress.first_event_at - self._exchange.began
-        self._exchange.end_stream(
-            endpoint=self._placed.endpoint.id,
-            events=self._progress.events,
+            await self._exchange.start_stream(head)
+        first = self._progress.first_event_at - self._exchange.started_at
+        self._exchange.finish_stream(
+            endpoint=self._placement.endpoint.id,
+            events=self._progress.event_count,
             first_token=round(first, 4),
             attempts=self.number,
         )
 
-    async def _note_event(self, head: ReplyHead) -> None:
-        """Counts an event that came, and begins the caller's stream with the first."""
+    async def _record_events(self, head: ReplyHead) -> None:
+        """Records that events arrived; with the first of all, starts the caller's stream."""
         loop = asyncio.get_running_loop()
-        if not self._answered:
-            self._answered = True
+        if not self._first_event_received:
+            self._first_event_received = True
             prompt = self._call.head.prompt_tokens
-            seconds = loop.time() - self.began
-            self._gateway.placer.record_first_event(self._placed, prompt, seconds)
+            seconds = loop.time() - self.started_at
+            self._gateway.placer.record_first_event(self._placement, prompt, seconds)
         if not self._exchange.streaming:
             self._progress.first_event_at = loop.time()
-            self._progress.weights = self._placed.weights
-            await self._exchange.begin_stream(head)
-        self._heard_at = self._progress.last_event_at = loop.time()
-        self._placed.load.progressed(self._heard_at)
+            self._progress.weights = self._placement.weights
+            await self._exchange.start_stream(head)
+        self._last_activity_at = self._progress.last_event_at = loop.time()
+        self._placement.load.progressed(self._last_activity_at)
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -1,118 +1,136 @@
-"""Looks after what was sent to endpoints and waits there, and recalls it where that is due."""
+"""Monitors requests that were sent to endpoints, and recalls them where that is necessary.
+
+To recall a request is to close its connection to the endpoint, so that the endpoint does not
+start or continue it. The rules are in decisions/request_recall.py.
+"""
 
 import asyncio
 import typing
 
 from ..core.awake_clock import awake_seconds
 from ..decisions.request_recall import RecallReason, Waiting, recall_reason
-from .placement import Placed, Placer
+from .placement import Placement, Placer
 from .published_state import PublishedState
 
-LOOK_SECONDS = 0.1
-# A loop that is later than this has not read what came meanwhile: the silence may be its own.
-LATE_SECONDS = 0.3
+CHECK_INTERVAL_SECONDS = 0.1
+# If a check runs later than this, the event loop was held up and has not read what arrived
+# meanwhile, so that an endpoint's silence may be due to this process.
+LOOP_DELAY_TOLERANCE_SECONDS = 0.3
 
 
 class AttemptInProgress(typing.Protocol):
     """An attempt that was sent and has not ended."""
 
     @property
-    def placed(self) -> Placed:
-        """Where it was sent, and on which weights."""
+    def placement(self) -> Placement:
+        """The endpoint it was sent to, and the version of the weights that must answer."""
 
     @property
     def repeatable(self) -> bool:
-        """Whether its request may run more than once."""
+        """Whether the request may run more than once."""
 
     @property
-    def begun(self) -> bool:
-        """Whether something of an answer came."""
+    def response_started(self) -> bool:
+        """Whether a part of the reply has arrived."""
 
     @property
-    def tells_beginning(self) -> bool:
-        """Whether its answer begins when its endpoint begins to work on it."""
+    def streams_response(self) -> bool:
+        """Whether the reply starts as soon as the endpoint starts to work on the request."""
 
     @property
-    def heard_at(self) -> float:
-        """When something came of it, or it was placed, by the event loop's clock."""
+    def last_activity_at(self) -> float:
+        """When the last event arrived, or else the request was placed, by the loop's clock."""
 
     @property
-    def leaves_in(self) -> float:
-        """The seconds until its caller leaves; infinite once something was passed on."""
+    def seconds_until_disconnect(self) -> float:
+        """Seconds until the caller will disconnect; infinite once it has received something."""
 
     def reserve_elsewhere(self) -> bool:
-        """Reserves a place at another endpoint that may go on with it, if there is one."""
+        """Reserves a place for the request at another endpoint; returns whether there is one."""
 
     def recall(self, reason: RecallReason) -> None:
-        """Drops it where it is, so that its endpoint does not begin it or go on with it."""
+        """Withdraws the request, so that its endpoint does not start or continue it."""
 
 
 class AttemptsInProgress:
     """The attempts of one entry that were sent and have not ended.
 
-    An engine knows of no bound, and does not tell that it stands still. A request that is gone
-    from its connection is what it does not begin.
+    An engine does not know the deadlines by which requests must have begun, and does not report
+    that it has stalled. The entry therefore checks each attempt, and closes the connection of a
+    request that must not begin any more.
     """
 
-    __slots__ = ("_state", "_placer", "_drain", "_attempts", "_looked_at", "_retired_at")
+    __slots__ = ("_state", "_placer", "_drain_seconds", "_attempts", "_checked_at", "_retired_at")
+
+    def __init__(self, state: PublishedState, placer: Placer, drain_seconds: float) -> None:
+        """Initializes the set.
 
-    def __init__(self, state: PublishedState, placer: Placer, drain: float) -> None:
-        """Takes the seconds from an endpoint's leaving until it must get no more work."""
+        Args:
+          drain_seconds: From the time that an endpoint announces that it leaves until it must
+            get no more work.
+        """
         self._state = state
         self._placer = placer
-        self._drain = drain
-        # In the order in which they were sent; who has waited longest goes first.
+        self._drain_seconds = drain_seconds
+        # Ordered by the time of sending, so that the request that has waited longest is the first
+        # to get a place elsewhere.
         self._attempts: dict[AttemptInProgress, None] = {}
-        self._looked_at = float("-inf")
-        # Since when each endpoint with work of this entry is leaving or gone, by its id.
+        self._checked_at = float("-inf")
+        # Since when each endpoint with requests of this entry has been leaving or unlisted, by id.
         self._retired_at: dict[str, float] = {}
 
     def add(self, attempt: AttemptInProgress) -> None:
-        """Takes an attempt that is about to be sent."""
+        """Adds an attempt that is about to be sent."""
         self._attempts[attempt] = None
 
     def discard(self, attempt: AttemptInProgress) -> None:
-        """Takes that an attempt has ended."""
+        """Removes an attempt that has ended."""
         self._attempts.pop(attempt, None)
 
-    def may_begin(self, placed: Placed) -> bool:
-        """Returns whether a request may still begin where it was placed."""
-        return not placed.weights or self._state.may_begin(placed.endpoint.model, placed.weights)
+    def may_begin(self, placement: Placement) -> bool:
+        """Returns whether a request may still begin on the weights it was placed on."""
+        return not placement.weights or self._state.may_begin(
+            placement.endpoint.model, placement.weights
+        )
 
     async def run(self) -> None:
-        """Looks for what is to be recalled, for ever."""
+        """Checks the attempts periodically until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_SECONDS)
+            self.check()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def look(self) -> None:
-        """Recalls what may not begin any more, and what can go on elsewhere."""
+    def check(self) -> None:
+        """Recalls requests that must not begin any more, or that another endpoint can take."""
         now = awake_seconds()
-        late = now - self._looked_at > LOOK_SECONDS + LATE_SECONDS
-        self._looked_at = now
-        self._note_retired(now)
+        loop_delayed = (
+            now - self._checked_at > CHECK_INTERVAL_SECONDS + LOOP_DELAY_TOLERANCE_SECONDS
+        )
+        self._checked_at = now
+        self._update_retired(now)
         for attempt in list(self._attempts):
-            placed = attempt.placed
-            if not attempt.begun:
-                self._placer.record_waiting(placed, attempt.heard_at)
+            placement = attempt.placement
+            if not attempt.response_started:
+                self._placer.record_waiting(placement, attempt.last_activity_at)
             waiting = Waiting(
-                begun=attempt.begun,
+                begun=attempt.response_started,
                 repeatable=attempt.repeatable,
-                may_begin=self.may_begin(placed),
-                tells_beginning=attempt.tells_beginning,
-                silent=not late
-                and self._placer.is_stalled(placed, attempt.heard_at, attempt.begun),
-                retired_seconds=now - self._retired_at.get(placed.endpoint.id, now),
-                leaves_in=attempt.leaves_in,
+                may_begin=self.may_begin(placement),
+                tells_beginning=attempt.streams_response,
+                silent=not loop_delayed
+                and self._placer.is_stalled(
+                    placement, attempt.last_activity_at, attempt.response_started
+                ),
+                retired_seconds=now - self._retired_at.get(placement.endpoint.id, now),
+                leaves_in=attempt.seconds_until_disconnect,
                 reserve=attempt.reserve_elsewhere,
             )
-            reason = recall_reason(waiting, self._drain)
+            reason = recall_reason(waiting, self._drain_seconds)
             if reason is not None:
                 attempt.recall(reason)
 
-    def _note_retired(self, now: float) -> None:
+    def _update_retired(self, now: float) -> None:
         listed = self._state.endpoints
-        used = {attempt.placed.endpoint.id for attempt in self._attempts}
+        used = {attempt.placement.endpoint.id for attempt in self._attempts}
         known = ((name, listed.get(name)) for name in used)
         retired = (name for name, endpoint in known if endpoint is None or endpoint.leaving)
         self._retired_at = {name: self._retired_at.get(name, now) for name in retired}
--- a/wasabidrum/gateway/call.py
+++ b/wasabidrum/gateway/call.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is worked on, and how far its stream has come."""
+"""A caller's request in progress, and how much of its stream has been relayed."""
 
 import asyncio
 import dataclasses
@@ -9,52 +9,54 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A request that was let in.
+    """An accepted request.
 
     Attributes:
-      workspace: The holder of its key; empty where the route asks for none.
-      came_at: When the request came, by the event loop's clock.
-      ends_at: When its caller or its route gives up, by the same clock.
+      workspace: The workspace that the API key belongs to; empty if the route needs no key.
+      arrived_at: When the request arrived, by the event loop's clock.
+      deadline: When the caller's deadline or the route's timeout ends, by the same clock.
     """
 
     head: RequestHead
     route: Route
     workspace: str
     body: bytes
-    came_at: float
-    ends_at: float
+    arrived_at: float
+    deadline: float
 
     @property
-    def left(self) -> float:
-        """Seconds until the caller or the route gives up."""
-        return self.ends_at - asyncio.get_running_loop().time()
+    def seconds_left(self) -> float:
+        """Seconds until the deadline."""
+        return self.deadline - asyncio.get_running_loop().time()
 
-    def leaves_in(self, last_event_at: float) -> float:
-        """Returns the seconds until its caller leaves unless an event comes.
+    def seconds_until_disconnect(self, last_event_at: float) -> float:
+        """Returns in how many seconds the caller will disconnect unless it receives an event.
 
         Args:
           last_event_at: When the last event was passed on; zero before the first.
         """
-        leaves_at = min(self.ends_at, (last_event_at or self.came_at) + self.route.patience)
+        leaves_at = min(self.deadline, (last_event_at or self.arrived_at) + self.route.patience)
         return leaves_at - asyncio.get_running_loop().time()
 
 
 class StreamProgress:
-    """How far a stream has come, over all attempts.
+    """How much of a stream has been relayed to the caller, over all attempts.
 
     Attributes:
-      weights: The version that it began with, which must go on with it; zero before.
-      last_event: The id of the last event passed on, or that the caller had before.
-      events: Events passed on.
-      first_event_at: When the first was, by the event loop's clock.
-      last_event_at: When the last was, by the same clock; zero before the first.
+      weights: The version of the weights that produced the first event, which must also produce
+        the rest; zero before the first event.
+      last_event_id: The id of the last event passed on, or of the last that the caller already
+        had when it asked.
+      event_count: Events passed on.
+      first_event_at: When the first event was passed on, by the event loop's clock.
+      last_event_at: When the last event was passed on, by the same clock; zero before the first.
     """
 
-    __slots__ = ("weights", "last_event", "events", "first_event_at", "last_event_at")
+    __slots__ = ("weights", "last_event_id", "event_count", "first_event_at", "last_event_at")
 
-    def __init__(self, last_event: str) -> None:
+    def __init__(self, last_event_id: str) -> None:
         self.weights = 0
-        self.last_event = last_event
-        self.events = 0
+        self.last_event_id = last_event_id
+        self.event_count = 0
         self.first_event_at = 0.0
         self.last_event_at = 0.0
--- a/wasabidrum/gateway/whole_reply.py
+++ b/wasabidrum/gateway/complete_reply.py
@@ -1,4 +1,4 @@
-"""An endpoint's answer that arrived whole."""
+"""An endpoint's reply that was read completely before it is passed on."""
 
 import dataclasses
 
@@ -6,8 +6,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeReply:
-    """Head and body, for a caller."""
+class CompleteReply:
+    """Head and body of a reply."""
 
     head: ReplyHead
     body: bytes
--- a/wasabidrum/gateway/daemon.py
+++ b/wasabidrum/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon where the platform publishes routes."""
+"""The entry daemon for platforms that publish routes."""
 
 import asyncio
 
@@ -25,22 +25,24 @@
 from .load_watcher import LoadWatcher
 from .paced_server import PacedServer
 from .placement import Placer
-from .published_state import MOST_SECONDS_SHOWN, PublishedState
+from .published_state import MAX_REPORTED_SECONDS, PublishedState
 from .store_follower import StoreFollower
 
-# The balancer asks once a second and needs two misses; meanwhile callers still come, and are
-# served. After that only those come that keep a connection.
-BALANCER_NOTICE_SECONDS = 2.5
-# Before the platform kills the process, with room for what runs then to be told of its end.
-GRACE_MARGIN_SECONDS = 0.7
-# Callers reuse connections for some time less than the limit that the operator publishes; one
-# closed at the limit itself could cross a request.
-IDLE_SECONDS = 30.0
+# The load balancer polls readiness once a second and removes an entry after two failed polls.
+# Until then it still sends new callers, and they are served. Afterwards requests arrive only on
+# connections that callers keep open.
+LOAD_BALANCER_DELAY_SECONDS = 2.5
+# Reserved at the end of the grace period for cancelling the requests that are still in progress,
+# before the platform kills the process.
+SHUTDOWN_MARGIN_SECONDS = 0.7
+# Callers stop reusing a connection some time before the idle limit that the operator publishes,
+# because a connection closed exactly at the limit could cross with a new request.
+IDLE_TIMEOUT_SECONDS = 30.0
 METRICS_PORT_OFFSET = 2
 
 
-class CallerServer(httputil.HTTPServerConnectionDelegate):
-    """Makes an exchange for each request that callers send."""
+class CallerServerDelegate(httputil.HTTPServerConnectionDelegate):
+    """Creates a CallerExchange for each incoming request."""
 
     def __init__(self, gateway: "Gateway") -> None:
         self._gateway = gateway
@@ -53,28 +55,34 @@
 
 
 class ReadyHandler(web.RequestHandler):
-    """Tells the platform's balancer whether callers may come."""
+    """Readiness check for the platform's load balancer."""
 
     def initialize(self, gateway: "Gateway") -> None:
-        """Takes the gateway from the route."""
+        """Receives the gateway from the route's arguments."""
         self._gateway = gateway
 
     def get(self) -> None:
-        """Answers 200 where they may."""
+        """Answers 200 when callers may be sent here, otherwise 503."""
         self.set_status(200 if self._gateway.ready else 503)
 
 
 class Gateway:
-    """Owns the entry's tasks and serves callers."""
+    """Owns the entry's servers and background tasks.
+
+    Attributes:
+      shutting_down: Shutdown has begun; the readiness check fails.
+      takes_requests: False once the load balancer has had time to react to the shutdown; later
+        requests are refused.
+    """
 
     def __init__(self, deployment: Deployment, log: EventLog) -> None:
         self._deployment = deployment
         self._servers: list[httpserver.HTTPServer] = []
         self.log = log
-        self.leaving = False
+        self.shutting_down = False
         self.takes_requests = True
         self.requests = RequestsInProgress()
-        self.tasks = BackgroundTasks(self._report_failure)
+        self.tasks = BackgroundTasks(self._log_task_failure)
         client = http_client.make_client()
         self.state = PublishedState(deployment.bounds, log)
         store = make_store_client(client, deployment.store)
@@ -83,8 +91,8 @@
         self.peers = EntryPeers(deployment, self.state, self.guard, self.tasks, log)
         self.placer = Placer(self.state, log, deployment.data_centre, deployment.bounds, self.peers)
         self.attempts = AttemptsInProgress(self.state, self.placer, deployment.bounds.drain)
-        self._watcher = LoadWatcher(
-            deployment, self.state, log, make_incarnation(), self.placer.take_status
+        self._load_watcher = LoadWatcher(
+            deployment, self.state, log, make_incarnation(), self.placer.record_status
         )
         self._relay = make_weights_relay(
             deployment,
@@ -99,17 +107,19 @@
 
     @property
     def body_limit(self) -> int:
-        """The most bytes that a caller's body may have."""
+        """The largest request body accepted, in bytes."""
         routes = self.state.routes
         limits = routes.configuration.limits if routes else CallerLimits()
         return limits.body_bytes
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether new callers may be sent here; logs each change."""
         lease = self.state.lease
         ready = (
-            not self.leaving and self.state.routes is not None and lease.is_ready(awake_seconds())
+            not self.shutting_down
+            and self.state.routes is not None
+            and lease.is_ready(awake_seconds())
         )
         if ready != self._was_ready:
             self._was_ready = ready
@@ -117,25 +127,25 @@
             self.log.write(
                 Event.READINESS_CHANGED,
                 ready=ready,
-                evidence_age=round(min(age, MOST_SECONDS_SHOWN), 3),
+                evidence_age=round(min(age, MAX_REPORTED_SECONDS), 3),
             )
         return ready
 
     async def start(self) -> None:
-        """Listens and starts the background tasks."""
+        """Opens the listening ports and starts the background tasks."""
         deployment = self._deployment
         limits = CallerLimits()
         server = PacedServer(
-            CallerServer(self),
+            CallerServerDelegate(self),
             max_header_size=limits.header_bytes * 2,
             max_body_size=limits.body_bytes * 4,
-            idle_connection_timeout=IDLE_SECONDS,
-            body_timeout=IDLE_SECONDS,
+            idle_connection_timeout=IDLE_TIMEOUT_SECONDS,
+            body_timeout=IDLE_TIMEOUT_SECONDS,
         )
         self._listen(server, deployment.callers)
-        given = {"gateway": self}
+        arguments = {"gateway": self}
         ready = web.Application(
-            [(names.READY_PATH, ReadyHandler, given)], log_function=lambda handler: None
+            [(names.READY_PATH, ReadyHandler, arguments)], log_function=lambda handler: None
         )
         self._listen(httpserver.HTTPServer(ready), deployment.readiness)
         metrics = web.Application(make_routes(self.log), log_function=lambda handler: None)
@@ -146,33 +156,33 @@
         self._listen(httpserver.HTTPServer(relay), Address(deployment.host, relay_port))
         await self.peers.start()
         self.tasks.start("store", self._follower.run())
-        self.tasks.start("ticks", self._follower.tick())
-        self.tasks.start("loads", self._watcher.run())
+        self.tasks.start("ticks", self._follower.run_ticks())
+        self.tasks.start("loads", self._load_watcher.run())
         self.tasks.start("weights", self._relay.run())
         self.tasks.start("attempts", self.attempts.run())
         self.log.write(Event.DAEMON_STARTED, role="entry", caller_port=deployment.callers.port)
 
     def reload(self, deployment: Deployment) -> list[str]:
-        """Takes new settings; only where others are found may change while running."""
+        """Applies new settings; only the seed addresses may change at run time."""
         if deployment.seeds == self._deployment.seeds:
             return []
         self._deployment = deployment
-        self.peers.take_seeds(deployment.seeds)
+        self.peers.set_seeds(deployment.seeds)
         return ["seeds"]
 
     async def stop(self) -> None:
-        """Leaves gracefully: takes no new callers, ends what is in progress, then stops."""
+        """Shuts down gracefully: refuses new requests, lets those in progress end, then stops."""
         began = asyncio.get_running_loop().time()
-        self.leaving = True
+        self.shutting_down = True
         self.log.write(Event.DAEMON_LEAVING, in_progress=self.requests.count)
-        await asyncio.sleep(BALANCER_NOTICE_SECONDS)
-        # Those that still come could not end before the process does; refused now, their
-        # callers lose a moment instead of half an answer.
+        await asyncio.sleep(LOAD_BALANCER_DELAY_SECONDS)
+        # Requests that arrive from here on might not end before the process does. Refused at
+        # once, their callers lose a moment rather than half an answer.
         self.takes_requests = False
         for server in self._servers:
             server.stop()
         spent = asyncio.get_running_loop().time() - began
-        left = self._deployment.bounds.grace - GRACE_MARGIN_SECONDS - spent
+        left = self._deployment.bounds.grace - SHUTDOWN_MARGIN_SECONDS - spent
         await self.requests.wait_until_idle(max(0.0, left))
         await self.tasks.cancel_all()
         await self.peers.stop()
@@ -184,7 +194,7 @@
         add(
             "evidence_age_seconds",
             "Since the configuration was last known to be the newest.",
-            lambda: min(self.state.lease.age(awake_seconds()), MOST_SECONDS_SHOWN),
+            lambda: min(self.state.lease.age(awake_seconds()), MAX_REPORTED_SECONDS),
         )
         add(
             "requests_in_progress",
@@ -202,16 +212,16 @@
             "The version of which this daemon holds its part; zero while there is none.",
             lambda: self._relay.held_version,
         )
-        add("leaving", "One while this daemon takes no new work.", lambda: self.leaving)
+        add("leaving", "One while this daemon takes no new work.", lambda: self.shutting_down)
 
     def _listen(self, server: httpserver.HTTPServer, address: Address) -> None:
         server.add_sockets(netutil.bind_sockets(address.port, address.host))
         self._servers.append(server)
 
-    def _report_failure(self, name: str, error: BaseException) -> None:
+    def _log_task_failure(self, name: str, error: BaseException) -> None:
         self.log.write(Event.TASK_FAILED, task=name, reason=repr(error)[:500])
 
 
 def make_gateway(deployment: Deployment, log: EventLog) -> Gateway:
-    """Returns an entry that has not started."""
+    """Returns an entry daemon that has not been started."""
     return Gateway(deployment, log)
--- a/wasabidrum/gateway/endpoint_connection.py
+++ b/wasabidrum/gateway/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One request on a connection of its own to an endpoint."""
+"""A connection to an endpoint that carries a single request."""
 
 import asyncio
 import collections
@@ -15,19 +15,19 @@
 from ..core.request_head import ReplyHead
 from ..platform import heads
 
-# An answer that is read ahead of its caller; beyond that the endpoint is not read.
+# The most of a reply that is buffered ahead of a slow caller; above it, reading is paused.
 READ_AHEAD_BYTES = 262_144
-LARGEST_BODY_BYTES = 64 * 1_048_576
-LARGEST_HEAD_BYTES = 65_536
-# How long sent bytes may stay without an acknowledgement. An endpoint that has gone dark closes
-# nothing, and a connection to it would otherwise hang until the request's own time is over.
-USER_TIMEOUT_MS = 2000
+MAX_BODY_BYTES = 64 * 1_048_576
+MAX_HEAD_BYTES = 65_536
+# How long sent data may stay unacknowledged. An endpoint that has become unreachable closes
+# nothing, and without this limit its connection would hang until the request's deadline.
+TCP_USER_TIMEOUT_MS = 2000
 
 
 class PartKind(enum.Enum):
-    """What a part of an answer is.
+    """The kind of a part of a reply.
 
-    BROKEN says that the connection ended before the answer did.
+    BROKEN means that the connection ended before the reply was complete.
     """
 
     HEAD = "head"
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One part of an answer as it arrived."""
+    """One part of a reply, as it arrived."""
 
     kind: PartKind
     head: ReplyHead | None = None
@@ -46,84 +46,89 @@
 
 
 class EndpointConnection(httputil.HTTPMessageDelegate):
-    """Sends one request and gives its answer in parts.
+    """Sends one request and returns its reply in parts.
 
-    A connection carries one request only. On one that is kept, a late or second answer to the
-    request before would be read as the answer to the next, and a caller would get another's.
+    A connection is never reused. On a reused one, a late or duplicate reply to the previous
+    request would be taken for the reply to the next, and one caller would get another's reply.
 
     Attributes:
-      sent: Whether a byte of the request may have left.
-      answering: Whether a byte of the answer's body has come.
+      sent: Whether any byte of the request may have been sent.
+      body_started: Whether any byte of the reply's body has arrived.
     """
 
     def __init__(self, stream: iostream.IOStream) -> None:
         self._stream = stream
         self._parts: collections.deque[Part] = collections.deque()
-        self._waiter: asyncio.Future[None] | None = None
-        self._room: asyncio.Future[None] | None = None
-        self._held = 0
-        self._reading: asyncio.Future | None = None
-        self._unframed = False
+        # Resolved when a part arrives that next_part waits for.
+        self._part_waiter: asyncio.Future[None] | None = None
+        # Resolved when the buffer has room again; reading is paused until then.
+        self._room_waiter: asyncio.Future[None] | None = None
+        self._buffered_bytes = 0
+        self._read_task: asyncio.Future | None = None
+        # Whether the reply has no length, so that only the end of the connection ends it.
+        self._ends_with_connection = False
         self._ended = False
         self.sent = False
-        self.answering = False
+        self.body_started = False
 
     def send(self, method: str, target: str, headers: httputil.HTTPHeaders, body: bytes) -> None:
-        """Sends the request and begins to read the answer."""
+        """Sends the request and starts to read the reply."""
         params = http1connection.HTTP1ConnectionParameters(
             no_keep_alive=True,
-            max_header_size=LARGEST_HEAD_BYTES,
-            max_body_size=LARGEST_BODY_BYTES,
+            max_header_size=MAX_HEAD_BYTES,
+            max_body_size=MAX_BODY_BYTES,
         )
         connection = http1connection.HTTP1Connection(self._stream, True, params)
         self.sent = True
         start = httputil.RequestStartLine(method, target, "")
         connection.write_headers(start, headers, body)
         connection.finish()
-        self._reading = asyncio.ensure_future(connection.read_response(self))
-        self._reading.add_done_callback(self._reading_ended)
+        self._read_task = asyncio.ensure_future(connection.read_response(self))
+        self._read_task.add_done_callback(self._on_read_done)
 
     async def next_part(self) -> Part:
-        """Returns the next part; after END or BROKEN there is none."""
+        """Returns the next part of the reply; must not be called after END or BROKEN."""
         while not self._parts:
-            self._waiter = asyncio.get_running_loop().create_future()
-            await self._waiter
+            self._part_waiter = asyncio.get_running_loop().create_future()
+            await self._part_waiter
         part = self._parts.popleft()
-        self._held -= len(part.content)
-        if self._room is not None and self._held < READ_AHEAD_BYTES:
-            if not self._room.done():
-                self._room.set_result(None)
-            self._room = None
+        self._buffered_bytes -= len(part.content)
+        if self._room_waiter is not None and self._buffered_bytes < READ_AHEAD_BYTES:
+            if not self._room_waiter.done():
+                self._room_waiter.set_result(None)
+            self._room_waiter = None
         return part
 
-    def break_off(self) -> None:
-        """Drops the request where it waits; whoever reads the answer finds it broken."""
+    def abort(self) -> None:
+        """Resets the connection; the reader of the reply gets a BROKEN part."""
         if self._ended:
             return
-        # Reset by the endpoint in this very turn, it has no socket any more.
+        # The endpoint may have reset the connection in this iteration of the event loop; the
+        # stream has no socket any more then.
         if not self._stream.closed():
-            self._drop_unsent()
-        self._put(Part(PartKind.BROKEN))
+            self._discard_unsent()
+        self._append(Part(PartKind.BROKEN))
         self._stream.close()
 
     def close(self) -> None:
-        """Ends the connection, so that the endpoint stops work on the request."""
+        """Closes the connection, so that the endpoint stops working on the request."""
         if self.sent and not self._ended and not self._stream.closed():
-            self._drop_unsent()
+            self._discard_unsent()
         self._ended = True
         self._stream.close()
-        if self._room is not None and not self._room.done():
-            self._room.set_result(None)
-
-    def _drop_unsent(self) -> None:
-        # Closed as usual, the system goes on sending what was not acknowledged. Over a link that
-        # is full a request then reaches its endpoint seconds after its caller has left, and is
-        # worked on for nobody. A reset drops it, and tells the endpoint at once.
+        if self._room_waiter is not None and not self._room_waiter.done():
+            self._room_waiter.set_result(None)
+
+    def _discard_unsent(self) -> None:
+        # After an ordinary close, the kernel goes on sending unacknowledged data. Over a
+        # saturated link, a request would then reach its endpoint seconds after its caller has
+        # disconnected, and be worked on for nobody. A close with SO_LINGER at zero sends a reset
+        # instead: it drops the unsent data and informs the endpoint at once.
         linger = struct.pack("ii", 1, 0)
         try:
             self._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         except OSError:
-            # The connection is gone already, and its unsent bytes with it.
+            # The connection is already gone, and its unsent data with it.
             return
 
     def headers_received(
@@ -131,47 +136,49 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Takes the head; see HTTPMessageDelegate."""
+        """Handles the reply's head; see HTTPMessageDelegate."""
         if start_line.code < 200:
             return
-        self._unframed = "Content-Length" not in headers and "Transfer-Encoding" not in headers
-        self._put(Part(PartKind.HEAD, head=heads.read_reply(start_line, headers)))
+        self._ends_with_connection = (
+            "Content-Length" not in headers and "Transfer-Encoding" not in headers
+        )
+        self._append(Part(PartKind.HEAD, head=heads.read_reply(start_line, headers)))
 
     def data_received(self, chunk: bytes) -> asyncio.Future | None:
-        """Takes some of the body; the reader waits where too much is held already."""
-        self.answering = True
-        self._put(Part(PartKind.BODY, content=chunk))
-        self._held += len(chunk)
-        if self._held < READ_AHEAD_BYTES or self._ended:
+        """Handles a part of the body; returns a future to wait for if the buffer is full."""
+        self.body_started = True
+        self._append(Part(PartKind.BODY, content=chunk))
+        self._buffered_bytes += len(chunk)
+        if self._buffered_bytes < READ_AHEAD_BYTES or self._ended:
             return None
-        if self._room is None:
-            self._room = asyncio.get_running_loop().create_future()
-        return self._room
+        if self._room_waiter is None:
+            self._room_waiter = asyncio.get_running_loop().create_future()
+        return self._room_waiter
 
     def finish(self) -> None:
-        """Takes the end of the answer."""
-        # An answer without a length ends with its connection. A connection that was reset
-        # ends as well, and half an answer would pass for a whole one.
-        broken = self._unframed and self._stream.error is not None
-        self._put(Part(PartKind.BROKEN if broken else PartKind.END))
+        """Handles the end of the reply."""
+        # A reply without a length ends when its connection is closed. A connection that was
+        # reset also ends, and without this check a truncated reply would pass for complete.
+        broken = self._ends_with_connection and self._stream.error is not None
+        self._append(Part(PartKind.BROKEN if broken else PartKind.END))
 
     def on_connection_close(self) -> None:
-        """Takes that the connection ended before the answer did."""
-        self._put(Part(PartKind.BROKEN))
+        """Handles a connection that ended before the reply did."""
+        self._append(Part(PartKind.BROKEN))
 
-    def _reading_ended(self, reading: asyncio.Future) -> None:
-        if not reading.cancelled():
-            reading.exception()
-        self._put(Part(PartKind.BROKEN))
+    def _on_read_done(self, read_task: asyncio.Future) -> None:
+        if not read_task.cancelled():
+            read_task.exception()
+        self._append(Part(PartKind.BROKEN))
 
-    def _put(self, part: Part) -> None:
+    def _append(self, part: Part) -> None:
         if self._ended:
             return
         if part.kind in (PartKind.END, PartKind.BROKEN):
             self._ended = True
         self._parts.append(part)
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+        if self._part_waiter is not None and not self._part_waiter.done():
+            self._part_waiter.set_result(None)
 
 
 async def connect(host: str, port: int, timeout: float) -> EndpointConnection:
@@ -182,8 +189,8 @@
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    stream = iostream.IOStream(sock, max_buffer_size=LARGEST_BODY_BYTES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    stream = iostream.IOStream(sock, max_buffer_size=MAX_BODY_BYTES)
     try:
         await waiting.wait_for(stream.connect((host, port)), timeout)
     except (OSError, TimeoutError, iostream.StreamClosedError) as error:
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -1,4 +1,8 @@
-"""What an entry asks of the others and tells them."""
+"""The requests that an entry exchanges with the other entries.
+
+Entries exchange the addresses that they know, pass on what they know of the store to entries
+that cannot reach it, and report requests that may have crashed an endpoint.
+"""
 
 import asyncio
 import random
@@ -30,22 +34,25 @@
 from .entry_service import EntryService
 from .published_state import PublishedState
 
-# The watch of the store renews the lease every 1.2 s; what is older than this has missed one.
-ASK_AGE_SECONDS = 1.7
-ASK_EVERY_SECONDS = 0.35
-ASK_TIMEOUT_SECONDS = 0.6
-PEERS_ASKED = 2
-# An entry that starts reads all from the store; with a thousand routes that takes a second over
-# a thin link. Others are asked for all only where the store has not answered in this time, and
-# then one at a time, or their answers would fill the link that the store's is on its way over.
-START_SECONDS = 0.7
-WHOLE_TIMEOUT_SECONDS = 2.0
-# Those who lost requests with one endpoint do so within a moment; they are told of together.
-GATHER_SECONDS = 0.05
+# Other entries are asked once the evidence is older than this. The watch of the store renews the
+# lease every 1.2 s, so that older evidence is taken as a sign of a missed renewal.
+MAX_EVIDENCE_AGE_SECONDS = 1.7
+QUERY_INTERVAL_SECONDS = 0.35
+PEER_TIMEOUT_SECONDS = 0.6
+PEERS_PER_QUERY = 2
+# An entry that starts reads a snapshot from the store, which takes a second over a thin link with
+# a thousand routes. Other entries are asked for a snapshot only if the store has not answered
+# within this time, and then one at a time, because several replies would saturate the link that
+# the store's reply arrives on.
+FIRST_READ_WAIT_SECONDS = 0.7
+SNAPSHOT_TIMEOUT_SECONDS = 2.0
+# All requests that are lost with an endpoint are lost within a moment; this delay lets them be
+# reported in one message.
+SUSPECT_BATCH_SECONDS = 0.05
 
 
 class EntryPeers:
-    """Owns the port for other entries, and the questions to them."""
+    """Serves the port for other entries, and sends them requests."""
 
     def __init__(
         self,
@@ -56,7 +63,7 @@
         log: EventLog,
     ) -> None:
         listen = deployment.peers_listen
-        self._own: Place = (listen.host, listen.port)
+        self._own_address: Place = (listen.host, listen.port)
         self._data_centre = deployment.data_centre
         self._state = state
         self._guard = guard
@@ -64,42 +71,44 @@
         self._log = log
         self._rng = random.Random()
         seeds = tuple((seed.host, seed.port) for seed in deployment.seeds)
-        self._roster = EntryRoster(self._own, seeds)
+        self._roster = EntryRoster(self._own_address, seeds)
         self._server: server.Server | None = None
-        self._suspects: dict[str, list[str]] = {}
-        self._relayed = False
+        # Fingerprints of requests that are to be reported as suspects, by endpoint.
+        self._pending_suspects: dict[str, list[str]] = {}
+        # Whether EVIDENCE_RELAYED was logged since the evidence was last fresh.
+        self._relay_logged = False
 
     @property
     def count(self) -> int:
-        """How many entries there are, this one included."""
+        """The number of entries, including this one."""
         return self._roster.count(awake_seconds())
 
     @property
-    def own(self) -> Place:
-        """Where this entry listens for others, by which they know it."""
-        return self._own
+    def own_address(self) -> Place:
+        """The address at which this entry listens for others, by which they know it."""
+        return self._own_address
 
-    def nearby(self) -> list[Place]:
-        """Returns the entries of this one's data centre, itself included, in an agreed order."""
+    def local_entries(self) -> list[Place]:
+        """Returns the entries of this data centre, itself included, in the same order at each."""
         return self._roster.within(self._data_centre, awake_seconds())
 
     def data_centres(self) -> dict[str, str]:
-        """Returns the data centres of all entries by their host, this one included."""
+        """Returns the data centre of each entry by its host, including this one."""
         known = self._roster.known(awake_seconds())
         found = {host: k.data_centre for (host, _), k in known.items() if k.data_centre}
-        return found | {self._own[0]: self._data_centre}
+        return found | {self._own_address[0]: self._data_centre}
 
-    def take_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Takes where some entries listen, by newer settings."""
+    def set_seeds(self, seeds: tuple[Address, ...]) -> None:
+        """Replaces the seed addresses after a change of settings."""
         self._roster.take_seeds(tuple((seed.host, seed.port) for seed in seeds))
 
     async def start(self) -> None:
-        """Listens and starts the tasks."""
-        sockets = netutil.bind_sockets(self._own[1], self._own[0])
+        """Opens the listening port and starts the background tasks."""
+        sockets = netutil.bind_sockets(self._own_address[1], self._own_address[0])
         self._server = server.Server([EntryService(self)], codec=CODEC)
         await self._server.start(sock=sockets[0])
-        self._tasks.start("meet", self._meet_for_ever())
-        self._tasks.start("relay", self._ask_for_ever())
+        self._tasks.start("meet", self._run_gossip())
+        self._tasks.start("relay", self._run_store_relay())
 
     async def stop(self) -> None:
         """Stops listening."""
@@ -107,43 +116,46 @@
             self._server.close()
             await self._server.wait_closed()
 
-    def reply_meet(self, message: Meet) -> Meet:
+    def handle_meet(self, message: Meet) -> Meet:
         """See EntryServiceOwner."""
-        self._take_known(message)
-        return self._meet()
+        self._record_known(message)
+        return self._make_meet()
 
-    def reply_changes(self, message: FetchChanges) -> ChangesReply:
+    def handle_fetch_changes(self, message: FetchChanges) -> ChangesReply:
         """See EntryServiceOwner."""
-        whole, changes = self._state.changes_after(message.after)
+        snapshot, changes = self._state.changes_after(message.after)
         now = awake_seconds()
         since = self._state.outages.unanswered_since
         return ChangesReply(
             revision=self._state.revision,
             age=self._state.lease.age(now),
-            whole=whole,
+            whole=snapshot,
             changes=tuple(PeerChange(c.key, c.revision, c.value) for c in changes),
             named=tuple(NamedVersion(*named) for named in self._state.named_versions()),
             unanswered=now - since if since is not None else 0.0,
         )
 
-    def take_suspects(self, message: TellSuspects) -> None:
+    def handle_suspects(self, message: TellSuspects) -> None:
         """See EntryServiceOwner."""
         now = asyncio.get_running_loop().time()
         for fingerprint in message.fingerprints:
             self._guard.saw_death(fingerprint, message.endpoint, now)
 
-    def tell_suspect(self, endpoint: str, fingerprint: str) -> None:
-        """Has every other entry told of a request that was there when an endpoint died."""
-        waiting = bool(self._suspects)
-        self._suspects.setdefault(endpoint, []).append(fingerprint)
-        if not waiting:
-            self._tasks.start("suspects", self._tell_suspects())
+    def report_suspect(self, endpoint: str, fingerprint: str) -> None:
+        """Reports to all other entries a request that was in progress when an endpoint died.
+
+        Reports that follow within SUSPECT_BATCH_SECONDS are sent together.
+        """
+        scheduled = bool(self._pending_suspects)
+        self._pending_suspects.setdefault(endpoint, []).append(fingerprint)
+        if not scheduled:
+            self._tasks.start("suspects", self._send_suspects())
 
-    async def _tell_suspects(self) -> None:
-        await asyncio.sleep(GATHER_SECONDS)
-        told, self._suspects = self._suspects, {}
+    async def _send_suspects(self) -> None:
+        await asyncio.sleep(SUSPECT_BATCH_SECONDS)
+        pending, self._pending_suspects = self._pending_suspects, {}
         addresses = self._roster.all_addresses(awake_seconds())
-        for endpoint, fingerprints in told.items():
+        for endpoint, fingerprints in pending.items():
             message = TellSuspects(endpoint, tuple(fingerprints))
             await asyncio.gather(
                 *(
@@ -152,53 +164,53 @@
                 )
             )
 
-    async def _meet_for_ever(self) -> None:
+    async def _run_gossip(self) -> None:
         while True:
             for address in self._roster.choose(1, awake_seconds(), self._rng):
-                reply = await self._call(address, entry_messages.MEET_PATH, self._meet(), Meet)
+                reply = await self._call(address, entry_messages.MEET_PATH, self._make_meet(), Meet)
                 if reply is not None:
-                    self._take_known(reply)
+                    self._record_known(reply)
             await asyncio.sleep(MEET_SECONDS * self._rng.uniform(0.7, 1.0))
 
-    def _meet(self) -> Meet:
+    def _make_meet(self) -> Meet:
         now = awake_seconds()
         addresses = tuple(
             EntryAddress(host, port, now - known.heard_at, known.data_centre)
             for (host, port), known in self._roster.latest(now)
         )
-        return Meet(EntryAddress(*self._own, 0.0, self._data_centre), addresses)
+        return Meet(EntryAddress(*self._own_address, 0.0, self._data_centre), addresses)
 
-    def _take_known(self, message: Meet) -> None:
+    def _record_known(self, message: Meet) -> None:
         now = awake_seconds()
         for known in (message.own, *message.known):
             self._roster.take((known.host, known.port), now - known.age, known.data_centre)
 
-    async def _ask_for_ever(self) -> None:
-        """Asks others for what the store does not tell this process."""
-        await self._wait_for_first_reading()
-        # A process that has just started cannot know for how long a version has been wanted;
-        # without another's word it would let requests begin on one that is overdue.
-        for address in self._roster.choose(PEERS_ASKED, awake_seconds(), self._rng):
-            await self._ask(address)
+    async def _run_store_relay(self) -> None:
+        """Fetches from other entries what this process cannot get from the store."""
+        await self._wait_for_first_read()
+        # A process that has just started cannot know for how long a version has been wanted.
+        # Unless it asks others, it would let requests begin on a version that is overdue.
+        for address in self._roster.choose(PEERS_PER_QUERY, awake_seconds(), self._rng):
+            await self._fetch_changes(address)
         while True:
-            await asyncio.sleep(ASK_EVERY_SECONDS)
+            await asyncio.sleep(QUERY_INTERVAL_SECONDS)
             age = self._state.lease.age(awake_seconds())
-            if age <= ASK_AGE_SECONDS:
-                self._relayed = False
+            if age <= MAX_EVIDENCE_AGE_SECONDS:
+                self._relay_logged = False
                 continue
-            count = PEERS_ASKED if self._state.revision else 1
+            count = PEERS_PER_QUERY if self._state.revision else 1
             addresses = self._roster.choose(count, awake_seconds(), self._rng)
-            await asyncio.gather(*(self._ask(address) for address in addresses))
+            await asyncio.gather(*(self._fetch_changes(address) for address in addresses))
 
-    async def _wait_for_first_reading(self) -> None:
-        ends = awake_seconds() + START_SECONDS
+    async def _wait_for_first_read(self) -> None:
+        ends = awake_seconds() + FIRST_READ_WAIT_SECONDS
         while not self._state.revision and awake_seconds() < ends:
-            await asyncio.sleep(ASK_EVERY_SECONDS / 8)
+            await asyncio.sleep(QUERY_INTERVAL_SECONDS / 8)
 
-    async def _ask(self, address: Place) -> None:
+    async def _fetch_changes(self, address: Place) -> None:
         asked_at = awake_seconds()
         request = FetchChanges(self._state.revision)
-        timeout = ASK_TIMEOUT_SECONDS if request.after else WHOLE_TIMEOUT_SECONDS
+        timeout = PEER_TIMEOUT_SECONDS if request.after else SNAPSHOT_TIMEOUT_SECONDS
         reply = await self._call(
             address, entry_messages.CHANGES_PATH, request, ChangesReply, timeout
         )
@@ -207,18 +219,19 @@
         if reply.unanswered > 0.0:
             self._state.outages.record_peer(asked_at - reply.unanswered)
         now = asyncio.get_running_loop().time()
-        newer = reply.revision >= self._state.revision and reply.revision > 0
-        if newer:
-            self._take_changes(reply, now)
-        # Last, for a version is dated only once the changes have named it.
+        up_to_date = reply.revision >= self._state.revision and reply.revision > 0
+        if up_to_date:
+            self._apply_changes(reply, now)
+        # After the changes, because only a version that they have named can be dated.
         for named in reply.named:
             self._state.record_reported_version(named.model, named.version, named.seconds)
-        if not newer:
+        if not up_to_date:
             return
-        # What the other knew when it was asked is no older than its own evidence was then.
+        # The other entry's evidence was this old when it answered, hence at most this old when it
+        # was asked.
         self._state.lease.renew(asked_at - reply.age)
-        if not self._relayed:
-            self._relayed = True
+        if not self._relay_logged:
+            self._relay_logged = True
             self._log.write(
                 Event.EVIDENCE_RELAYED,
                 peer=address[0],
@@ -227,13 +240,13 @@
                 changes=len(reply.changes),
             )
 
-    def _take_changes(self, reply: ChangesReply, now: float) -> None:
+    def _apply_changes(self, reply: ChangesReply, now: float) -> None:
         changes = tuple(StoreChange(c.key, c.revision, c.value) for c in reply.changes)
         reading = StoreReading(changes, reply.revision)
         if reply.whole:
-            self._state.take_reading(reading, now)
+            self._state.apply_snapshot(reading, now)
         else:
-            self._state.take_changes(reading, now)
+            self._state.apply_changes(reading, now)
 
     async def _call(
         self,
@@ -241,9 +254,9 @@
         path: str,
         message: object,
         kind: type,
-        timeout: float = ASK_TIMEOUT_SECONDS,
+        timeout: float = PEER_TIMEOUT_SECONDS,
     ):
-        """Returns a peer's answer, or None where there was none."""
+        """Calls another entry; returns its reply, or None if there was none."""
         host, port = address
         try:
             reply = await peer_client.call(host, port, path, message, kind, timeout)
--- a/wasabidrum/gateway/entry_service.py
+++ b/wasabidrum/gateway/entry_service.py
@@ -1,4 +1,4 @@
-"""The gRPC service that entries offer each other."""
+"""The gRPC service through which entries talk to each other."""
 
 import typing
 
@@ -9,20 +9,20 @@
 
 
 class EntryServiceOwner(typing.Protocol):
-    """What the service answers from."""
+    """Answers the requests that the service receives."""
 
-    def reply_meet(self, message: Meet) -> Meet:
-        """Takes who called, and says who is known."""
+    def handle_meet(self, message: Meet) -> Meet:
+        """Records the entries that the caller knows, and returns those known here."""
 
-    def reply_changes(self, message: FetchChanges) -> ChangesReply:
-        """Says what changed after a revision."""
+    def handle_fetch_changes(self, message: FetchChanges) -> ChangesReply:
+        """Returns the store's changes after a revision."""
 
-    def take_suspects(self, message: TellSuspects) -> None:
-        """Takes requests that were there when an endpoint died."""
+    def handle_suspects(self, message: TellSuspects) -> None:
+        """Records requests that were in progress at an endpoint when it died."""
 
 
 class EntryService:
-    """Implements the handlers."""
+    """Implements the gRPC handlers."""
 
     __slots__ = ("_owner",)
 
@@ -30,20 +30,20 @@
         self._owner = owner
 
     async def meet(self, stream: server.Stream) -> None:
-        """Answers Meet."""
-        await stream.send_message(self._owner.reply_meet(await stream.recv_message()))
+        """Handles Meet."""
+        await stream.send_message(self._owner.handle_meet(await stream.recv_message()))
 
     async def changes(self, stream: server.Stream) -> None:
-        """Answers Changes."""
-        await stream.send_message(self._owner.reply_changes(await stream.recv_message()))
+        """Handles Changes."""
+        await stream.send_message(self._owner.handle_fetch_changes(await stream.recv_message()))
 
     async def suspects(self, stream: server.Stream) -> None:
-        """Answers Suspects."""
-        self._owner.take_suspects(await stream.recv_message())
+        """Handles Suspects."""
+        self._owner.handle_suspects(await stream.recv_message())
         await stream.send_message(Told())
 
     def __mapping__(self) -> dict[str, const.Handler]:
-        """Returns the handlers by path, as grpclib asks for them."""
+        """Returns the handlers by path, as grpclib requires."""
         unary = const.Cardinality.UNARY_UNARY
         return {
             entry_messages.MEET_PATH: const.Handler(self.meet, unary, Meet, Meet),
--- a/wasabidrum/gateway/event_stream.py
+++ b/wasabidrum/gateway/event_stream.py
@@ -1,66 +1,66 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a byte stream of server-sent events into complete events."""
 
 import dataclasses
 
-END = b"\n\n"
+EVENT_TERMINATOR = b"\n\n"
 ID_FIELD = b"id:"
-# An event is some hundred bytes; one that never ends must not fill the memory.
-LONGEST_EVENT_BYTES = 1_048_576
+# An event is a few hundred bytes. The limit keeps one that never ends from exhausting memory.
+MAX_EVENT_BYTES = 1_048_576
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeEvents:
-    """Events that came together.
+class CompleteEvents:
+    """Complete events that became available together.
 
     Attributes:
-      content: Their bytes, as they came.
-      last_id: The id of the last of them that has one, or empty.
-      count: How many they are.
+      content: Their bytes, unchanged.
+      last_event_id: The id of the last of them that has one; empty if none has.
+      count: The number of events.
     """
 
     content: bytes
-    last_id: str
+    last_event_id: str
     count: int
 
 
-class EventStream:
-    """Holds back the part of an event until the rest is there.
+class EventStreamBuffer:
+    """Holds back a partial event until the rest has arrived.
 
-    An endpoint may stop in the middle of an event. Passed on as it came, the part would stand
-    before the first event of the endpoint that goes on, and the caller would read one event
-    made of two.
+    An endpoint may fail in the middle of an event. If the partial event were passed on, it would
+    precede the first event of the endpoint that resumes the stream, and the caller would parse
+    the two as a single event.
     """
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
     def incomplete(self) -> bool:
-        """Whether part of an event has come and its end has not."""
-        return bool(self._rest)
+        """Whether a partial event is held back."""
+        return bool(self._partial)
 
-    def take(self, content: bytes) -> WholeEvents:
-        """Takes bytes as they came, and returns the events that are whole now.
+    def feed(self, content: bytes) -> CompleteEvents:
+        """Adds received bytes, and returns the events that are now complete.
 
         Raises:
-          ValueError: An event is too long.
+          ValueError: An event is larger than MAX_EVENT_BYTES.
         """
-        held = self._rest + content
-        end = held.rfind(END)
+        held = self._partial + content
+        end = held.rfind(EVENT_TERMINATOR)
         if end < 0:
-            self._rest = held
-            if len(held) > LONGEST_EVENT_BYTES:
-                raise ValueError("an event is too long")
-            return WholeEvents(b"", "", 0)
-        end += len(END)
-        whole, self._rest = held[:end], held[end:]
-        return WholeEvents(whole, last_id(whole), whole.count(END))
+            self._partial = held
+            if len(held) > MAX_EVENT_BYTES:
+                raise ValueError("an event exceeds the size limit")
+            return CompleteEvents(b"", "", 0)
+        end += len(EVENT_TERMINATOR)
+        complete, self._partial = held[:end], held[end:]
+        return CompleteEvents(complete, find_last_id(complete), complete.count(EVENT_TERMINATOR))
 
 
-def last_id(content: bytes) -> str:
-    """Returns the last event's id in some whole events, or empty where none has one."""
+def find_last_id(content: bytes) -> str:
+    """Returns the last event id in a sequence of complete events; empty if none has one."""
     start = content.rfind(b"\n" + ID_FIELD)
     if start < 0:
         if not content.startswith(ID_FIELD):
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its head to its final answer."""
+"""One caller's HTTP request, from its head to the final answer."""
 
 import asyncio
 import typing
@@ -12,14 +12,14 @@
 from ..core.request_head import ReplyHead, RequestHead
 from ..observe.event import Event
 from ..platform import heads
+from .complete_reply import CompleteReply
 from .forwarding import Forwarding
-from .whole_reply import WholeReply
 
 if typing.TYPE_CHECKING:
     from .daemon import Gateway
 
-# Another entry takes a caller that comes back at once.
-LEAVING_RETRY_SECONDS = 0.05
+# Short, because another entry serves the caller when it retries.
+SHUTDOWN_RETRY_SECONDS = 0.05
 NOT_READY_RETRY_SECONDS = 1.0
 STATUS_REASONS = {
     401: "Unauthorized",
@@ -37,56 +37,59 @@
     def __init__(self, gateway: "Gateway", connection: httputil.HTTPConnection) -> None:
         self._gateway = gateway
         self._connection = connection
-        self._parts: list[bytes] = []
-        self._received = 0
+        self._body_chunks: list[bytes] = []
+        self._body_size = 0
         self._head: RequestHead | None = None
         self._task: asyncio.Task | None = None
-        self._answered = False
+        # Whether the final outcome is decided; a disconnect no longer counts as a cancellation.
+        self._completed = False
         self._streaming = False
-        self._began = 0.0
-        self._came_at: float | None = None
-        self._inputs: dict[str, object] = {}
+        self._started_at = 0.0
+        self._arrived_at: float | None = None
+        self._log_facts: dict[str, object] = {}
 
-    def lay_unread_since(self, came_at: float) -> None:
-        """Takes that the request was here since a time, by the event loop's clock."""
-        self._came_at = came_at
+    def set_arrival_time(self, arrived_at: float) -> None:
+        """Sets when the request arrived, by the event loop's clock, if it waited unread."""
+        self._arrived_at = arrived_at
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Takes the head; see HTTPMessageDelegate."""
-        # Counted from its reading, the deadline of a request that lay unread would end after its
-        # caller is gone, and an endpoint would work for nobody until then.
+        """Reads the request head; see HTTPMessageDelegate."""
+        # The deadline counts from the arrival. Counted from now, the deadline of a request that
+        # waited unread would end after its caller has left, and an endpoint would keep working
+        # for a caller that is gone.
         now = asyncio.get_running_loop().time()
-        self._began = now if self._came_at is None else self._came_at
+        self._started_at = now if self._arrived_at is None else self._arrived_at
         self._head = heads.read_request(start_line, headers)
 
     def data_received(self, chunk: bytes) -> None:
-        """Takes some of the body."""
-        self._received += len(chunk)
-        if self._received <= self._gateway.body_limit:
-            self._parts.append(chunk)
+        """Buffers a part of the body, up to the body limit."""
+        self._body_size += len(chunk)
+        if self._body_size <= self._gateway.body_limit:
+            self._body_chunks.append(chunk)
 
     def finish(self) -> None:
-        """Takes that the request is here whole, and begins to work on it."""
-        self._connection.set_close_callback(self.caller_gone)
+        """Starts to serve the request, which has now been received completely."""
+        self._connection.set_close_callback(self.on_disconnect)
         self._task = self._gateway.tasks.start("request", self._run())
 
     def on_connection_close(self) -> None:
-        """Takes that the caller went away before its request was whole."""
-        self.caller_gone()
+        """Handles a disconnect before the request was received completely."""
+        self.on_disconnect()
 
-    def caller_gone(self) -> None:
-        """Ends the work for a caller that went away."""
-        if self._task is not None and not self._task.done() and not self._answered:
+    def on_disconnect(self) -> None:
+        """Cancels the request of a caller that has disconnected."""
+        if self._task is not None and not self._task.done() and not self._completed:
             self._log(Event.REQUEST_CANCELLED, code="cancelled", outcome=Outcome.UNKNOWN.value)
             self._task.cancel()
 
     async def _run(self) -> None:
-        # Closed between its last byte and now, it would be worked on for nobody: the library
-        # tells only of what closes from now on.
+        # The close callback reports only disconnects from now on. A connection that closed
+        # between the last byte of the request and this point has to be detected here, or the
+        # request would be served for nobody.
         if self._connection.stream.closed():
             self._log(Event.REQUEST_CANCELLED, code="cancelled", outcome=Outcome.NOT_RUN.value)
             return
@@ -94,51 +97,54 @@
             try:
                 await self._serve(self._head)
             except CodedError as error:
-                self._refuse(error)
+                self._send_error(error)
 
     async def _serve(self, head: RequestHead) -> None:
-        if self._received > self._gateway.body_limit:
-            raise CodedError("body_too_large", "the body is too long", 413)
+        if self._body_size > self._gateway.body_limit:
+            raise CodedError("body_too_large", "the request body is too large", 413)
         if not self._gateway.takes_requests:
-            message = "this entry is leaving"
-            raise CodedError("entry_leaving", message, 503, retry_after=LEAVING_RETRY_SECONDS)
+            message = "this entry is shutting down"
+            raise CodedError("entry_leaving", message, 503, retry_after=SHUTDOWN_RETRY_SECONDS)
         state = self._gateway.state
         routes = state.routes
         if routes is None:
-            raise not_ready("no configuration yet")
+            raise not_ready_error("this entry has no configuration yet")
         now = awake_seconds()
         fresh = state.lease.holds(now)
-        self.note(evidence_age=round(state.lease.age(now), 3))
+        self.add_log_facts(evidence_age=round(state.lease.age(now), 3))
         route = routes.find(head.host, head.path)
         if route is None:
-            # On old evidence the route may exist by now, and "not found" would be untrue.
+            # A stale configuration may lack a route that exists by now, so that "not found"
+            # could be wrong.
             if not fresh:
-                raise not_ready("the configuration may be old")
+                raise not_ready_error("the configuration may be out of date")
             raise CodedError("route_unknown", "no such route", 404)
-        self.note(route=route.name)
+        self.add_log_facts(route=route.name)
         workspace = ""
         if routes.has_workspaces and not route.public:
             if not fresh:
-                raise not_ready("keys cannot be judged now")
+                raise not_ready_error("the configuration may be too old to verify API keys")
             holder = routes.workspace_of(head.key)
             if holder is None:
-                raise CodedError("key_unknown", "the key is not valid", 401)
+                raise CodedError("key_unknown", "the API key is not valid", 401)
             workspace = holder.name
-            self.note(workspace=workspace)
-        await Forwarding(self, self._gateway, head, route, workspace, b"".join(self._parts)).run()
+            self.add_log_facts(workspace=workspace)
+        await Forwarding(
+            self, self._gateway, head, route, workspace, b"".join(self._body_chunks)
+        ).run()
 
     @property
-    def began(self) -> float:
-        """When the request came, as far as is known, by the event loop's clock."""
-        return self._began
+    def started_at(self) -> float:
+        """When the request arrived, as far as known, by the event loop's clock."""
+        return self._started_at
 
-    def note(self, **inputs: object) -> None:
-        """Keeps what decided on the request, for the line that tells of its end."""
-        self._inputs.update(inputs)
+    def add_log_facts(self, **facts: object) -> None:
+        """Adds facts to the log line that reports the end of the request."""
+        self._log_facts.update(facts)
 
-    def answer_whole(self, reply: WholeReply, **facts: object) -> None:
-        """Passes an endpoint's whole answer on."""
-        self._answered = True
+    def send_reply(self, reply: CompleteReply, **facts: object) -> None:
+        """Sends an endpoint's complete reply to the caller."""
+        self._completed = True
         headers = reply.head.headers
         if reply.head.status not in (204, 304):
             headers["Content-Length"] = str(len(reply.body))
@@ -146,36 +152,36 @@
         self._write(start, headers, reply.body)
         self._log(Event.REQUEST_DONE, outcome=Outcome.DONE.value, status=reply.head.status, **facts)
 
-    async def begin_stream(self, head: ReplyHead) -> None:
-        """Passes the head of a stream on."""
+    async def start_stream(self, head: ReplyHead) -> None:
+        """Sends the head of a streamed reply to the caller."""
         self._streaming = True
-        self._prepare_headers(head.headers)
+        self._set_connection_header(head.headers)
         start = httputil.ResponseStartLine("", head.status, head.reason)
         await self._connection.write_headers(start, head.headers)
 
     async def write_events(self, content: bytes) -> None:
-        """Passes whole events on, waiting for a caller that reads slowly."""
+        """Sends complete events to the caller, waiting if it reads slowly."""
         await self._connection.write(content)
 
-    def end_stream(self, **facts: object) -> None:
-        """Ends a stream that is whole."""
-        self._answered = True
+    def finish_stream(self, **facts: object) -> None:
+        """Ends a complete stream."""
+        self._completed = True
         self._connection.finish()
         self._log(Event.REQUEST_DONE, outcome=Outcome.DONE.value, **facts)
 
-    def cut_stream(self, code: str, **facts: object) -> None:
-        """Ends a stream that will not become whole, so that its caller can tell."""
-        self._answered = True
+    def abort_stream(self, code: str, **facts: object) -> None:
+        """Closes the connection in the middle of a stream, so that the caller sees it is cut."""
+        self._completed = True
         self._log(Event.REQUEST_FAILED, code=code, outcome=Outcome.FAILED.value, **facts)
         self._connection.close()
 
     @property
     def streaming(self) -> bool:
-        """Whether the head of a stream was passed on."""
+        """Whether the head of a stream was sent to the caller."""
         return self._streaming
 
-    def _refuse(self, error: CodedError) -> None:
-        self._answered = True
+    def _send_error(self, error: CodedError) -> None:
+        self._completed = True
         body = msgspec.json.encode(
             {"error": {"code": error.code, "message": str(error), "outcome": error.outcome.value}}
         )
@@ -198,12 +204,12 @@
     def _write(
         self, start: httputil.ResponseStartLine, headers: httputil.HTTPHeaders, body: bytes
     ) -> None:
-        self._prepare_headers(headers)
+        self._set_connection_header(headers)
         self._connection.write_headers(start, headers, body)
         self._connection.finish()
 
-    def _prepare_headers(self, headers: httputil.HTTPHeaders) -> None:
-        if self._gateway.leaving:
+    def _set_connection_header(self, headers: httputil.HTTPHeaders) -> None:
+        if self._gateway.shutting_down:
             headers["Connection"] = "close"
 
     def _log(self, event: Event, **facts: object) -> None:
@@ -211,12 +217,12 @@
         self._gateway.log.write(
             event,
             request=self._head.request_id if self._head else "",
-            seconds=round(asyncio.get_running_loop().time() - self._began, 4),
+            seconds=round(asyncio.get_running_loop().time() - self._started_at, 4),
             revision=state.version,
-            **(self._inputs | facts),
+            **(self._log_facts | facts),
         )
 
 
-def not_ready(message: str) -> CodedError:
-    """Returns what a caller is told whose request cannot be judged now."""
+def not_ready_error(message: str) -> CodedError:
+    """Returns the error for a request that this entry cannot judge yet."""
     return CodedError("not_ready", message, 503, retry_after=NOT_READY_RETRY_SECONDS)
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards one request to an endpoint, and to another where that is safe and useful."""
+"""Forwards one request to an endpoint, and to another one where a retry is safe and useful."""
 
 import asyncio
 import typing
@@ -14,32 +14,33 @@
 from ..observe.event import Event
 from .attempt import Attempt, AttemptError
 from .call import Call, StreamProgress
-from .placement import Placed
+from .placement import Placement
 
 if typing.TYPE_CHECKING:
     from .daemon import Gateway
     from .exchange import CallerExchange
 
-# What a caller waits who says nothing of it.
+# Applies to requests that state no deadline.
 DEFAULT_DEADLINE_SECONDS = 30.0
-# An answer that takes longer to refuse than this is late for its caller in any case.
-SHORTEST_USEFUL_SECONDS = 0.02
-# A slot of some endpoint comes free several times in that time.
+# With less time left, even a refusal would reach the caller too late, so nothing is sent.
+MIN_USEFUL_SECONDS = 0.02
+# Within this time several slots become free at some endpoint.
 NOT_RUN_RETRY_SECONDS = 0.3
-# Of the time that a caller has left, it is asked to wait so much at most before it comes back.
-RETRY_FRACTION = 0.45
-# How long a caller is asked to leave a request alone that crashes endpoints.
+# The largest Retry-After, before jitter, as a fraction of the time that the caller has left.
+MAX_RETRY_AFTER_FRACTION = 0.45
+# The Retry-After of a request that is blocked because it crashes endpoints.
 BLOCKED_RETRY_SECONDS = 30.0
-# A request that took so many times its forecast and had no answer was not slow but lost.
+# A request that times out after this many times its forecast was lost rather than slow, and
+# counts as a failure of the endpoint.
 OVERDUE_FACTOR = 10.0
-# An engine that does not hold the weights that were asked for refuses so.
+# The error code of an engine that does not hold the requested version of the weights.
 MISSING_WEIGHTS_CODE = "refused_421"
-# Ends at which the endpoint may have died of the request.
-DEATH_CODES = frozenset(("answer_lost", "answer_cut", "stream_cut"))
+# Errors after which the endpoint may have crashed on the request.
+CONNECTION_LOSS_CODES = frozenset(("answer_lost", "answer_cut", "stream_cut"))
 
 
 class Forwarding:
-    """Forwards one request, to another endpoint where that is safe and useful."""
+    """Forwards one request, with retries at other endpoints where that is safe and useful."""
 
     def __init__(
         self,
@@ -53,15 +54,15 @@
         self._exchange = exchange
         self._gateway = gateway
         seconds = min(head.deadline or DEFAULT_DEADLINE_SECONDS, route.timeout)
-        came_at = exchange.began
-        self._call = Call(head, route, workspace, body, came_at, came_at + seconds)
+        arrived_at = exchange.started_at
+        self._call = Call(head, route, workspace, body, arrived_at, arrived_at + seconds)
         self._progress = StreamProgress(head.last_event)
         self._history = AttemptHistory(route.idempotent, max(1, route.max_attempts))
         self._service = gateway.placer.pick_service(route)
-        self._tried: frozenset[str] = frozenset()
-        self._retries = 0
-        # Where the request goes on, reserved when it was recalled from an endpoint.
-        self._reserved: Placed | None = None
+        self._tried_endpoints: frozenset[str] = frozenset()
+        self._retry_count = 0
+        # Where the next attempt goes, reserved when the last one was recalled from its endpoint.
+        self._reserved: Placement | None = None
         caller = workspace or head.key
         self._fingerprint = poison.fingerprint_of_parts(
             head.method, head.host, head.target, caller, body
@@ -71,22 +72,22 @@
         """Serves the request.
 
         Raises:
-          CodedError: It was not answered; the outcome says what that means.
+          CodedError: No reply was sent; the outcome says whether the request may have run.
         """
         self._check_poison()
-        self._check_time()
-        self._gateway.placer.budget(self._service).earn()
+        self._check_deadline()
+        self._gateway.placer.retry_budget(self._service).earn()
         try:
             await self._try_endpoints()
         finally:
-            self._release()
+            self._release_reservation()
 
     async def _try_endpoints(self) -> None:
         failure = ""
         while True:
-            placed = self._place(failure)
-            if placed is None:
-                self._exchange.cut_stream(failure, events=self._progress.events)
+            placement = self._place(failure)
+            if placement is None:
+                self._exchange.abort_stream(failure, events=self._progress.event_count)
                 return
             number = self._history.sends + 1
             attempt = Attempt(
@@ -94,7 +95,7 @@
                 self._gateway,
                 self._call,
                 self._progress,
-                placed,
+                placement,
                 number,
                 self._reserve_elsewhere,
             )
@@ -105,117 +106,135 @@
             except AttemptError as error:
                 failure = error.code
                 self._history.take(error.end)
-                self._note_end(placed, attempt, error)
-                self._tried |= {placed.endpoint.id}
-                hopeless = attempt.recalled is RecallReason.CALLER_LEAVING
-                if hopeless or (self._reserved is None and not self._may_go_on()):
+                self._record_failed_attempt(placement, attempt, error)
+                self._tried_endpoints |= {placement.endpoint.id}
+                caller_leaving = attempt.recall_reason is RecallReason.CALLER_LEAVING
+                if caller_leaving or (self._reserved is None and not self._claim_retry()):
                     self._give_up(error)
                     return
 
     def _check_poison(self) -> None:
-        """Refuses a request that is known to crash the endpoints that run it.
+        """Refuses a request that is known to crash endpoints.
 
         Raises:
-          CodedError: It is one; this copy of it has not run.
+          CodedError: The request is blocked; it was not run.
         """
         now = asyncio.get_running_loop().time()
         if self._gateway.guard.is_blocked(self._fingerprint, now):
-            message = "this request was in progress at two endpoints that died"
+            message = "this request was in progress during two endpoint failures"
             raise CodedError("request_blocked", message, 503, retry_after=BLOCKED_RETRY_SECONDS)
 
-    def _check_time(self) -> None:
-        """Refuses a request whose time was over before it was read.
+    def _check_deadline(self) -> None:
+        """Refuses a request whose deadline has passed or is about to.
 
         Raises:
-          CodedError: It is one; it has not run.
+          CodedError: No useful time is left; the request was not run.
         """
-        if self._call.left <= SHORTEST_USEFUL_SECONDS:
-            message = "its time was over before it could be sent"
+        if self._call.seconds_left <= MIN_USEFUL_SECONDS:
+            message = "no time was left to forward the request before its deadline"
             raise CodedError("deadline_passed", message, 503)
 
-    def _place(self, failure: str) -> Placed | None:
-        """Returns where the request goes, or None for a stream that cannot go on.
+    def _place(self, failure: str) -> Placement | None:
+        """Returns where the next attempt goes, or None for a stream that cannot continue.
+
+        Args:
+          failure: The error code of the last attempt; empty before the first.
 
         Raises:
-          CodedError: It goes nowhere.
+          CodedError: No endpoint can take the request.
         """
         if self._reserved is not None:
-            placed, self._reserved = self._reserved, None
-            self._note_placed(placed, failure)
-            return placed
-        left = self._call.left
+            placement, self._reserved = self._reserved, None
+            self._log_placement(placement, failure)
+            return placement
+        left = self._call.seconds_left
         placer = self._gateway.placer
-        choice = self._choose(self._tried, moved=False)
-        placed = placer.placed_by(choice)
-        if placed is None:
+        choice = self._choose(self._tried_endpoints, moved=False)
+        placement = placer.placement_for(choice)
+        if placement is None:
             placer.record_refusal(self._service)
-        elif left > SHORTEST_USEFUL_SECONDS:
-            self._note_placed(placed, failure)
-            placer.begin(placed, self._call.head.prompt_tokens)
-            return placed
+        elif left > MIN_USEFUL_SECONDS:
+            self._log_placement(placement, failure)
+            placer.record_sent(placement, self._call.head.prompt_tokens)
+            return placement
         if self._exchange.streaming:
             return None
         if self._history.may_have_run:
-            status = self._history.final_status(left <= SHORTEST_USEFUL_SECONDS)
-            raise CodedError(failure or "no_endpoint", "no answer", status, Outcome.UNKNOWN)
-        self._exchange.note(
+            status = self._history.final_status(left <= MIN_USEFUL_SECONDS)
+            raise CodedError(
+                failure or "no_endpoint", "no reply was received", status, Outcome.UNKNOWN
+            )
+        self._exchange.add_log_facts(
             service=self._service,
             endpoints_known=choice.known,
             endpoints_able=choice.able,
             report_age=choice.report_age,
         )
         code = "overloaded" if choice.seconds < float("inf") else "no_endpoint"
-        message = f"the first event would come after {choice.seconds:.2f} s"
-        retry = min(choice.retry_after, RETRY_FRACTION * left) * (1.0 + 0.3 * placer.rng.random())
+        message = f"the forecast time to the first response is {choice.seconds:.2f} s"
+        retry = min(choice.retry_after, MAX_RETRY_AFTER_FRACTION * left) * (
+            1.0 + 0.3 * placer.rng.random()
+        )
         raise CodedError(code, message, 503, retry_after=retry)
 
-    def _choose(self, tried: frozenset[str], moved: bool) -> Choice:
+    def _choose(self, tried_endpoints: frozenset[str], moved: bool) -> Choice:
         call, progress = self._call, self._progress
-        leaves_in = call.leaves_in(progress.last_event_at)
+        seconds_until_disconnect = call.seconds_until_disconnect(progress.last_event_at)
         if call.route.kind is RouteKind.STREAM:
-            leaves_in -= SHORTEST_BEGINNING_SECONDS
+            seconds_until_disconnect -= SHORTEST_BEGINNING_SECONDS
         return self._gateway.placer.choose(
-            call.route, self._service, call.head, tried, progress.weights, leaves_in, moved
+            call.route,
+            self._service,
+            call.head,
+            tried_endpoints,
+            progress.weights,
+            seconds_until_disconnect,
+            moved,
         )
 
-    def _reserve_elsewhere(self, placed: Placed) -> bool:
-        """Reserves a place and a retry for what was placed; returns whether there are both.
+    def _reserve_elsewhere(self, placement: Placement) -> bool:
+        """Reserves another endpoint and a retry for a request; returns whether both were free.
 
-        Counted at once, the place and the retry are not promised to others that are recalled
-        in the same moment.
+        Both are counted at once, so that requests recalled at the same moment are not all
+        promised the same place and the same retry.
+
+        Args:
+          placement: Where the request waits now.
         """
         placer = self._gateway.placer
         if not self._history.may_follow_a_run() or not self._may_retry():
             return False
-        reserved = placer.placed_by(self._choose(self._tried | {placed.endpoint.id}, moved=True))
+        reserved = placer.placement_for(
+            self._choose(self._tried_endpoints | {placement.endpoint.id}, moved=True)
+        )
         if reserved is None or not self._spend_retry():
             return False
-        placer.begin(reserved, self._call.head.prompt_tokens)
+        placer.record_sent(reserved, self._call.head.prompt_tokens)
         self._reserved = reserved
         return True
 
-    def _release(self) -> None:
-        """Gives back what was reserved and not used, as when its caller has left meanwhile."""
+    def _release_reservation(self) -> None:
+        """Releases a reserved place that was not used, as when the caller disconnected."""
         if self._reserved is not None:
             self._reserved.load.ended(self._call.head.prompt_tokens, False)
-            self._gateway.placer.record_no_verdict(self._reserved)
+            self._gateway.placer.record_inconclusive_end(self._reserved)
             self._reserved = None
 
-    def _may_go_on(self) -> bool:
+    def _claim_retry(self) -> bool:
         return self._history.may_go_on() and self._may_retry() and self._spend_retry()
 
     def _may_retry(self) -> bool:
         now = asyncio.get_running_loop().time()
         blocked = self._gateway.guard.is_blocked(self._fingerprint, now)
-        return self._call.left > SHORTEST_USEFUL_SECONDS and not blocked
+        return self._call.seconds_left > MIN_USEFUL_SECONDS and not blocked
 
     def _spend_retry(self) -> bool:
-        if not self._gateway.placer.budget(self._service).spend(self._retries):
+        if not self._gateway.placer.retry_budget(self._service).spend(self._retry_count):
             return False
-        self._retries += 1
+        self._retry_count += 1
         return True
 
-    def _note_placed(self, placed: Placed, failure: str) -> None:
+    def _log_placement(self, placement: Placement, failure: str) -> None:
         call = self._call
         self._gateway.log.write(
             Event.REQUEST_PLACED,
@@ -223,56 +242,62 @@
             workspace=call.workspace,
             route=call.route.name,
             service=self._service,
-            endpoint=placed.endpoint.id,
-            weights=placed.weights,
-            forecast=round(placed.seconds, 3),
-            in_progress=placed.load.own,
+            endpoint=placement.endpoint.id,
+            weights=placement.weights,
+            forecast=round(placement.forecast_seconds, 3),
+            in_progress=placement.load.own,
             after=failure,
         )
 
     def _give_up(self, error: AttemptError) -> None:
-        facts = {"events": self._progress.events, "attempts": self._history.sends}
+        """Ends the request after its last attempt has failed."""
+        facts = {"events": self._progress.event_count, "attempts": self._history.sends}
         if self._exchange.streaming:
-            self._exchange.cut_stream(error.code, **facts)
+            self._exchange.abort_stream(error.code, **facts)
             return
         if error.reply is not None and error.end is AttemptEnd.FAILED:
-            self._exchange.answer_whole(error.reply, **facts)
+            self._exchange.send_reply(error.reply, **facts)
             return
-        late = self._call.left <= SHORTEST_USEFUL_SECONDS
+        late = self._call.seconds_left <= MIN_USEFUL_SECONDS
         status = self._history.final_status(late)
         outcome = Outcome.UNKNOWN if self._history.may_have_run else Outcome.NOT_RUN
         retry = NOT_RUN_RETRY_SECONDS if outcome is Outcome.NOT_RUN else None
         raise CodedError(error.code, "no endpoint answered", status, outcome, retry_after=retry)
 
-    def _note_end(self, placed: Placed, attempt: Attempt, error: AttemptError) -> None:
+    def _record_failed_attempt(
+        self, placement: Placement, attempt: Attempt, error: AttemptError
+    ) -> None:
         self._gateway.log.write(
             Event.CALL_PLACED_AGAIN,
             request=self._call.head.request_id,
-            endpoint=placed.endpoint.id,
+            endpoint=placement.endpoint.id,
             code=error.code,
             end=error.end.value,
-            events=self._progress.events,
+            events=self._progress.event_count,
         )
-        if error.code == MISSING_WEIGHTS_CODE and placed.weights:
-            self._gateway.placer.record_missing_weights(placed)
-        elif self._blames_endpoint(placed, attempt, error):
-            self._gateway.placer.record_failure(placed, error.code)
+        if error.code == MISSING_WEIGHTS_CODE and placement.weights:
+            self._gateway.placer.record_missing_weights(placement)
+        elif self._is_endpoint_fault(placement, attempt, error):
+            self._gateway.placer.record_failure(placement, error.code)
         else:
-            self._gateway.placer.record_no_verdict(placed)
-        if error.code in DEATH_CODES:
+            self._gateway.placer.record_inconclusive_end(placement)
+        if error.code in CONNECTION_LOSS_CODES:
             now = asyncio.get_running_loop().time()
-            self._gateway.guard.saw_death(self._fingerprint, placed.endpoint.id, now)
-            self._gateway.peers.tell_suspect(placed.endpoint.id, self._fingerprint)
+            self._gateway.guard.saw_death(self._fingerprint, placement.endpoint.id, now)
+            self._gateway.peers.report_suspect(placement.endpoint.id, self._fingerprint)
             self._gateway.log.write(
                 Event.REQUEST_SUSPECTED,
                 request=self._call.head.request_id,
-                endpoint=placed.endpoint.id,
+                endpoint=placement.endpoint.id,
                 fingerprint=self._fingerprint,
             )
 
-    def _blames_endpoint(self, placed: Placed, attempt: Attempt, error: AttemptError) -> bool:
-        # What is recalled, and a caller's own short time, say nothing of the endpoint.
-        if attempt.recalled is not None:
+    def _is_endpoint_fault(
+        self, placement: Placement, attempt: Attempt, error: AttemptError
+    ) -> bool:
+        # A recall, or a timeout because the caller allowed little time, says nothing about the
+        # endpoint.
+        if attempt.recall_reason is not None:
             return False
-        waited = asyncio.get_running_loop().time() - attempt.began
-        return error.code != "timeout" or waited > OVERDUE_FACTOR * placed.seconds
+        waited = asyncio.get_running_loop().time() - attempt.started_at
+        return error.code != "timeout" or waited > OVERDUE_FACTOR * placement.forecast_seconds
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -1,4 +1,4 @@
-"""Watches the sidecars of the engines that an entry sends to, for what the engines are doing."""
+"""Watches the sidecars of the engines that an entry sends to, for the engines' load and state."""
 
 import asyncio
 import collections.abc
@@ -14,16 +14,16 @@
 from ..weights.chunk_member import CHUNK_PORT_OFFSET
 from .published_state import PublishedState
 
-CHOOSE_SECONDS = 0.25
-# A sidecar tells something every 0.75 s; three beats missing mean that the stream hangs.
+UPDATE_INTERVAL_SECONDS = 0.25
+# A sidecar sends a status every 0.75 s; three missing ones mean that the stream hangs.
 SILENCE_SECONDS = 2.5
 
 
 class LoadWatcher:
-    """Keeps a stream to each engine's sidecar, and hands on what it tells.
+    """Keeps a stream open to each engine's sidecar and passes on the statuses it sends.
 
     Attributes:
-      on_status: Called with each sidecar's account.
+      on_status: Called with each status.
     """
 
     def __init__(
@@ -39,25 +39,26 @@
         self._log = log
         self._incarnation = incarnation
         self._sequence = 0
-        self._links = OutboundLinks(self, False, SILENCE_SECONDS, self._lose)
-        self._chosen_for = (-1, -1)
-        self._heard: set[str] = set()
-        self._told_limits: list[tuple[str, int, int]] = []
+        self._links = OutboundLinks(self, False, SILENCE_SECONDS, self._on_link_lost)
+        # The versions of the endpoints and the configuration that the links were opened for.
+        self._linked_for = (-1, -1)
+        self._connected: set[str] = set()
+        self._sent_limits: list[tuple[str, int, int]] = []
         self.on_status = on_status
 
     def status(self) -> Status:
         """See LinkOwner."""
         self._sequence += 1
-        own = self._deployment
+        deployment = self._deployment
         return Status(
-            name=own.name,
+            name=deployment.name,
             role=InstanceRole.ENTRY,
             incarnation=self._incarnation,
             sequence=self._sequence,
-            region=own.region,
-            data_centre=own.data_centre,
-            host=own.host,
-            http_port=own.first_port + CHUNK_PORT_OFFSET,
+            region=deployment.region,
+            data_centre=deployment.data_centre,
+            host=deployment.host,
+            http_port=deployment.first_port + CHUNK_PORT_OFFSET,
             placing_limits=self._state.placing_limits(),
         )
 
@@ -66,50 +67,50 @@
         status = link.whole_status(push)
         if status is None:
             return
-        if link.name not in self._heard:
-            self._heard.add(link.name)
+        if link.name not in self._connected:
+            self._connected.add(link.name)
             self._log.write(Event.MEMBER_JOINED, member=link.name)
         self.on_status(status)
 
     async def run(self) -> None:
-        """Watches for ever."""
+        """Watches until cancelled."""
         loop = asyncio.get_running_loop()
         try:
             while True:
                 self._links.end_silent(loop.time())
-                self._tell_limits()
-                state = (self._state.endpoints.version, self._state.version)
-                if state != self._chosen_for:
-                    self._chosen_for = state
-                    self._links.keep(self._choose(), loop.time())
-                await asyncio.sleep(CHOOSE_SECONDS)
+                self._push_changed_limits()
+                versions = (self._state.endpoints.version, self._state.version)
+                if versions != self._linked_for:
+                    self._linked_for = versions
+                    self._links.keep(self._sidecars_to_watch(), loop.time())
+                await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
         finally:
             await self._links.close_all()
 
-    def _tell_limits(self) -> None:
-        """Tells sidecars of versions that were named, and where an outage puts them off."""
+    def _push_changed_limits(self) -> None:
+        """Sends the sidecars new placing limits, and those that a store outage has postponed."""
         limits = [(v.model, v.version, v.put_off) for v in self._state.placing_limits()]
-        if limits != self._told_limits:
-            self._told_limits = limits
+        if limits != self._sent_limits:
+            self._sent_limits = limits
             self._links.wake_all()
 
-    def _choose(self) -> list[Instance]:
-        own = self._deployment
+    def _sidecars_to_watch(self) -> list[Instance]:
+        deployment = self._deployment
         return [
             Instance(
                 endpoint.host,
                 InstanceRole.SIDECAR,
-                own.region_of.get(endpoint.data_centre, ""),
+                deployment.region_of.get(endpoint.data_centre, ""),
                 endpoint.data_centre,
                 endpoint.host,
                 0,
-                own.first_port,
+                deployment.first_port,
             )
             for endpoint in self._state.endpoints.endpoints
-            if self._state.engine_of(endpoint.service) is not None
+            if self._state.engine_figures(endpoint.service) is not None
         ]
 
-    def _lose(self, name: str, refused: bool) -> None:
-        if name in self._heard:
-            self._heard.discard(name)
+    def _on_link_lost(self, name: str, refused: bool) -> None:
+        if name in self._connected:
+            self._connected.discard(name)
             self._log.write(Event.MEMBER_SUSPECTED, member=name, refused=refused)
--- a/wasabidrum/gateway/paced_server.py
+++ b/wasabidrum/gateway/paced_server.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections a few at a time, so that a busy entry stays responsive."""
+"""An HTTP server that starts callers' connections at a limited rate, to stay responsive."""
 
 import asyncio
 import collections
@@ -9,96 +9,97 @@
 
 from tornado import httpserver, httputil, iostream
 
-# A request that is read and refused takes some 3 ms of processor time, measured over 400 on a
-# connection each. So many hold up everything else in a turn of the event loop for 12 ms, and on an
-# instance that runs four times slower for 50 ms.
-CONNECTIONS_PER_TURN = 4
+# Reading and refusing a request takes about 3 ms of processor time (mean over 400 requests, each
+# on its own connection). This many delay everything else in an iteration of the event loop by
+# 12 ms, or by 50 ms on an instance that runs four times slower.
+CONNECTIONS_PER_ITERATION = 4
 
 
 @typing.runtime_checkable
-class CountsWaiting(typing.Protocol):
-    """Something that reads a request and counts for how long it lay unread."""
+class TracksArrival(typing.Protocol):
+    """A request delegate that takes into account how long the request waited unread."""
 
-    def lay_unread_since(self, came_at: float) -> None:
-        """Takes that the request was here since a time, by the event loop's clock."""
+    def set_arrival_time(self, arrived_at: float) -> None:
+        """Sets when the request arrived, by the event loop's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitingConnection:
-    """A connection whose turn has not come.
+    """An accepted connection that was not started yet.
 
     Attributes:
-      came_at: When its request was here, by the event loop's clock; None where it was not yet.
+      arrived_at: When its request was found to have arrived, by the event loop's clock; None if
+        it had not when the connection was accepted.
     """
 
     stream: iostream.IOStream
     address: tuple
-    came_at: float | None
+    arrived_at: float | None
 
 
 class PacedServer(httpserver.HTTPServer):
-    """Begins a few connections in each turn of the event loop, in the order in which they came.
+    """Starts a few connections in each iteration of the event loop, in order of arrival.
 
-    The library accepts up to 128 connections in one turn and reads the requests of all of them
-    in the next. On a slow instance such a turn takes over a second, in which no event of a stream
-    is passed on and no connection that a caller closed is noticed: engines work for nobody, and
-    log lines of cancelled requests come late by as much. Here the others wait accepted, so that it
-    is known how long their requests lay unread.
+    Tornado accepts up to 128 connections in one iteration and reads all their requests in the
+    next. On a slow instance such an iteration takes over a second. During that time no event of
+    a stream is passed on and no disconnect is noticed: engines work for callers that are gone,
+    and the log lines of cancelled requests are late by as much. This server accepts the other
+    connections but lets them wait, so that it knows how long their requests waited unread.
     """
 
     def initialize(self, *args: object, **kwargs: object) -> None:
-        """Takes the settings of the library's server."""
+        """Initializes the server with the arguments of Tornado's HTTPServer."""
         super().initialize(*args, **kwargs)
         self._waiting: collections.deque[WaitingConnection] = collections.deque()
-        self._came_at: dict[iostream.IOStream, float] = {}
-        self._begun = 0
+        self._arrival_times: dict[iostream.IOStream, float] = {}
+        self._started_this_iteration = 0
 
     def handle_stream(self, stream: iostream.IOStream, address: tuple) -> None:
-        """Takes an accepted connection; see TCPServer."""
-        if self._begun < CONNECTIONS_PER_TURN and not self._waiting:
-            self._begin(stream, address)
+        """Starts an accepted connection or lets it wait; see TCPServer."""
+        if self._started_this_iteration < CONNECTIONS_PER_ITERATION and not self._waiting:
+            self._start_connection(stream, address)
             return
         now = asyncio.get_running_loop().time()
-        came_at = now if has_input(stream.socket) else None
-        self._waiting.append(WaitingConnection(stream, address, came_at))
+        arrived_at = now if has_input(stream.socket) else None
+        self._waiting.append(WaitingConnection(stream, address, arrived_at))
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """See HTTPServerConnectionDelegate."""
         exchange = super().start_request(server_conn, request_conn)
-        came_at = self._came_at.pop(request_conn.stream, None)
-        if came_at is not None and isinstance(exchange, CountsWaiting):
-            exchange.lay_unread_since(came_at)
+        arrived_at = self._arrival_times.pop(request_conn.stream, None)
+        if arrived_at is not None and isinstance(exchange, TracksArrival):
+            exchange.set_arrival_time(arrived_at)
         return exchange
 
-    def _begin(self, stream: iostream.IOStream, address: tuple) -> None:
-        if not self._begun:
-            asyncio.get_running_loop().call_soon(self._next_turn)
-        self._begun += 1
+    def _start_connection(self, stream: iostream.IOStream, address: tuple) -> None:
+        if not self._started_this_iteration:
+            asyncio.get_running_loop().call_soon(self._start_waiting)
+        self._started_this_iteration += 1
         super().handle_stream(stream, address)
 
-    def _next_turn(self) -> None:
-        self._begun = 0
-        while self._waiting and self._begun < CONNECTIONS_PER_TURN:
-            waiting = self._waiting.popleft()
-            # Its caller has given up unread. Read all the same, it would cost those behind it as
-            # much as a request that somebody waits for, and they would be given up in their turn.
-            if was_closed_by_peer(waiting.stream.socket):
-                waiting.stream.close()
+    def _start_waiting(self) -> None:
+        self._started_this_iteration = 0
+        while self._waiting and self._started_this_iteration < CONNECTIONS_PER_ITERATION:
+            connection = self._waiting.popleft()
+            # The caller has given up before its request was read. Reading it anyway would delay
+            # those behind it as much as any other request, until their callers give up as well.
+            if is_closed_by_peer(connection.stream.socket):
+                connection.stream.close()
                 continue
-            if waiting.came_at is not None:
-                self._came_at[waiting.stream] = waiting.came_at
-            self._begin(waiting.stream, waiting.address)
+            if connection.arrived_at is not None:
+                self._arrival_times[connection.stream] = connection.arrived_at
+            self._start_connection(connection.stream, connection.address)
 
 
 def has_input(sock: socket.socket) -> bool:
-    """Returns whether bytes, or the end of the connection, wait to be read."""
+    """Returns whether data, or the end of the connection, is waiting to be read."""
     return _has_event(sock, select.POLLIN)
 
 
-def was_closed_by_peer(sock: socket.socket) -> bool:
-    """Returns whether the other side has closed or reset, even behind bytes not read yet."""
+def is_closed_by_peer(sock: socket.socket) -> bool:
+    """Returns whether the peer has closed or reset the connection, even if data is unread."""
     return _has_event(sock, select.POLLRDHUP)
 
 
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -1,4 +1,8 @@
-"""Joins what is registered with this entry's own counts, and asks the decisions where to go."""
+"""Chooses endpoints for requests, from what is registered and what this entry has measured.
+
+The rules of the choice are in decisions/endpoint_choice.py. This module collects their inputs:
+the registered endpoints, the statuses that sidecars report, and this entry's own counts.
+"""
 
 import asyncio
 import dataclasses
@@ -25,29 +29,30 @@
 from .reported_statuses import ReportedStatuses
 from .service_traffic import ServiceTraffic
 
-# A plain service's call is short; one is refused only where it could not end in its time.
+# Calls of plain services are short; one is refused only if it could not end before its deadline.
 PLAIN_LATEST_FRACTION = 0.5
-# The part of the users' retries that entries use themselves; callers of one service may send to
-# endpoints of others, and entries count each other only roughly.
-RETRY_PART = 0.7
-FEWEST_ENTRIES = 3
+# The share of the allowed retries that entries use. The rest is a reserve, because callers of one
+# service may send to endpoints of others, and entries know their own number only roughly.
+RETRY_SHARE = 0.7
+# The allowed retries are divided by at least this many entries.
+MIN_ENTRIES = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
-    """An endpoint that was chosen, with what is counted of it.
+class Placement:
+    """A chosen endpoint, with its load.
 
     Attributes:
       weights: The version of the weights that must answer; zero for a plain service.
-      seconds: The first event that was forecast.
-      raw: The same by the engine's figures alone.
+      forecast_seconds: The forecast time to the first event.
+      raw_forecast_seconds: The same from the engine's figures alone, before any correction.
     """
 
     endpoint: ListedEndpoint
     load: EndpointLoad
     weights: int
-    seconds: float
-    raw: float = 0.0
+    forecast_seconds: float
+    raw_forecast_seconds: float = 0.0
 
 
 class PeerEntries(typing.Protocol):
@@ -55,21 +60,21 @@
 
     @property
     def count(self) -> int:
-        """How many entries there are, this one included."""
+        """The number of entries, including this one."""
 
     @property
-    def own(self) -> Place:
-        """This entry, as the others know it."""
+    def own_address(self) -> Place:
+        """The address by which the other entries know this one."""
 
-    def nearby(self) -> list[Place]:
-        """Returns the entries of this one's data centre, in an order that all agree on."""
+    def local_entries(self) -> list[Place]:
+        """Returns the entries of this data centre, in the same order at each of them."""
 
 
 class Placer:
-    """The endpoints of one entry, and what it knows of each."""
+    """Places the requests of one entry, and keeps what it knows of each endpoint."""
 
-    __slots__ = ("_state", "_log", "_near", "_loads", "_rng", "_budgets", "_bounds")
-    __slots__ += ("_told", "_peer_entries", "_traffic", "_first", "_dealt_for")
+    __slots__ = ("_state", "_log", "_data_centre", "_loads", "_rng", "_retry_budgets", "_bounds")
+    __slots__ += ("_statuses", "_peer_entries", "_traffic", "_preferred", "_assigned_for")
 
     def __init__(
         self,
@@ -81,43 +86,44 @@
     ) -> None:
         self._state = state
         self._log = log
-        self._near = data_centre
+        self._data_centre = data_centre
         self._bounds = bounds
         self._peer_entries = peer_entries
         self._traffic: dict[str, ServiceTraffic] = {}
-        self._first: frozenset[str] = frozenset()
-        self._dealt_for: tuple[object, ...] = ()
+        # The engines that this entry sends to first, and the inputs that they were assigned from.
+        self._preferred: frozenset[str] = frozenset()
+        self._assigned_for: tuple[object, ...] = ()
         self._loads: dict[tuple[str, int], EndpointLoad] = {}
-        self._budgets: dict[str, RetryBudget] = {}
-        self._told = ReportedStatuses()
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._statuses = ReportedStatuses()
         self._rng = random.Random()
 
     @property
     def rng(self) -> random.Random:
-        """The entry's source of chance."""
+        """The entry's random number generator."""
         return self._rng
 
     def load_of(self, endpoint: ListedEndpoint) -> EndpointLoad:
-        """Returns what is known of one run of an endpoint."""
+        """Returns the load of an endpoint since its last start."""
         key = (endpoint.id, endpoint.started_at)
         load = self._loads.get(key)
         if load is None:
-            self._forget_unlisted()
+            self._drop_unlisted_loads()
             load = self._loads[key] = EndpointLoad(self._rng)
         return load
 
-    def budget(self, service: str) -> RetryBudget:
-        """Returns the retries that a service may still be sent."""
-        budget = self._budgets.get(service)
+    def retry_budget(self, service: str) -> RetryBudget:
+        """Returns the budget of retries to a service."""
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            entries = max(FEWEST_ENTRIES, self._peer_entries.count)
-            part = RETRY_PART * self._bounds.retry_extra / entries
-            earned = RETRY_PART * self._bounds.retry_fraction
-            budget = self._budgets[service] = RetryBudget(earned, part, part)
+            entries = max(MIN_ENTRIES, self._peer_entries.count)
+            share = RETRY_SHARE * self._bounds.retry_extra / entries
+            earned = RETRY_SHARE * self._bounds.retry_fraction
+            budget = self._retry_budgets[service] = RetryBudget(earned, share, share)
         return budget
 
     def pick_service(self, route: Route) -> str:
-        """Returns the service that a request of a route goes to, by the targets' weights."""
+        """Returns one of a route's target services, chosen at random by their weights."""
         if len(route.targets) == 1:
             return route.targets[0].service
         weights = [max(0.0, target.weight) for target in route.targets]
@@ -132,24 +138,25 @@
         head: RequestHead,
         tried: frozenset[str],
         weights: int,
-        leaves_in: float,
+        seconds_until_disconnect: float,
         moved: bool = False,
     ) -> Choice:
-        """Chooses an endpoint that was not tried yet; counts nothing.
+        """Chooses an endpoint for a request without recording it.
 
         Args:
-          weights: The version that must answer, for a stream that goes on; zero for any.
-          leaves_in: The seconds until its caller leaves.
-          moved: It is given up at another endpoint.
+          tried: The endpoints that the request was already sent to, which are left out.
+          weights: The version that must answer, when a stream is resumed; zero for any.
+          seconds_until_disconnect: Seconds until the caller will disconnect.
+          moved: The request is being recalled from another endpoint.
         """
         now = asyncio.get_running_loop().time()
-        figures = self._state.engine_of(service)
-        self._deal()
+        figures = self._state.engine_figures(service)
+        self._assign_endpoints()
         candidates = self._candidates(service, figures, tried, weights, now)
         if figures is None:
-            latest = leaves_in * PLAIN_LATEST_FRACTION
+            latest = seconds_until_disconnect * PLAIN_LATEST_FRACTION
         else:
-            latest = min(leaves_in, route.target_latency * LATEST_FRACTION)
+            latest = min(seconds_until_disconnect, route.target_latency * LATEST_FRACTION)
         risky = route.kind is RouteKind.UNSAFE or not route.idempotent
         traffic = self.traffic(service)
         demand = Demand(
@@ -160,77 +167,79 @@
             corrections=traffic.bias.corrections(now),
             refused_share=traffic.refused_share(now),
             moved=moved,
-            leaves_in=leaves_in,
+            leaves_in=seconds_until_disconnect,
         )
         return choose(candidates, figures, demand, now, self._rng)
 
-    def placed_by(self, choice: Choice) -> Placed | None:
-        """Returns the endpoint that was chosen with what is counted of it, or None."""
+    def placement_for(self, choice: Choice) -> Placement | None:
+        """Returns the placement on the endpoint that was chosen; None for a refusal."""
         if choice.candidate is None:
             return None
         endpoint, load = choice.candidate.endpoint, choice.candidate.load
-        is_engine = self._state.engine_of(endpoint.service) is not None
+        is_engine = self._state.engine_figures(endpoint.service) is not None
         version = endpoint.weights if is_engine else 0
-        return Placed(endpoint, load, version, choice.seconds, choice.raw)
+        return Placement(endpoint, load, version, choice.seconds, choice.raw)
 
     def record_refusal(self, service: str) -> None:
-        """Counts a request that no endpoint could take."""
+        """Records a request that no endpoint could take."""
         self.traffic(service).refusals.take(asyncio.get_running_loop().time())
 
     def traffic(self, service: str) -> ServiceTraffic:
-        """Returns what this entry sends to a service."""
+        """Returns the traffic of this entry to a service."""
         traffic = self._traffic.get(service)
         if traffic is None:
             traffic = self._traffic[service] = ServiceTraffic()
         return traffic
 
-    def begin(self, placed: Placed, prompt_tokens: int) -> None:
-        """Counts a request that is sent to its endpoint."""
+    def record_sent(self, placement: Placement, prompt_tokens: int) -> None:
+        """Records a request that is sent, or has a place reserved, at an endpoint."""
         now = asyncio.get_running_loop().time()
-        placed.load.placed(prompt_tokens, now, placed.seconds)
-        self.traffic(placed.endpoint.service).rate.take(now)
+        placement.load.placed(prompt_tokens, now, placement.forecast_seconds)
+        self.traffic(placement.endpoint.service).rate.take(now)
 
-    def record_first_event(self, placed: Placed, prompt_tokens: int, seconds: float) -> None:
-        """Records a request's first event, some seconds after it was placed."""
+    def record_first_event(self, placement: Placement, prompt_tokens: int, seconds: float) -> None:
+        """Records the first event of a request, and how long after the placement it arrived."""
         now = asyncio.get_running_loop().time()
-        placed.load.first_event(prompt_tokens, now)
-        placed.load.lateness.take(seconds - placed.seconds, now)
-        self.traffic(placed.endpoint.service).bias.take(placed.raw, seconds, now)
+        placement.load.first_event(prompt_tokens, now)
+        placement.load.lateness.take(seconds - placement.forecast_seconds, now)
+        self.traffic(placement.endpoint.service).bias.take(
+            placement.raw_forecast_seconds, seconds, now
+        )
 
-    def record_waiting(self, placed: Placed, placed_at: float) -> None:
-        """Records that a request has not begun yet, which may be later than forecast."""
+    def record_waiting(self, placement: Placement, placed_at: float) -> None:
+        """Records that a request has not begun yet, and by how much its forecast is exceeded."""
         now = asyncio.get_running_loop().time()
-        placed.load.lateness.take(now - placed_at - placed.seconds, now)
+        placement.load.lateness.take(now - placed_at - placement.forecast_seconds, now)
 
-    def record_failure(self, placed: Placed, reason: str) -> None:
-        """Records a failure that may be the endpoint's own."""
+    def record_failure(self, placement: Placement, reason: str) -> None:
+        """Records a failure that may be the endpoint's fault."""
         now = asyncio.get_running_loop().time()
-        placed.load.record_end(True, now)
-        if placed.load.health.record_failure(now):
-            self._tell_ejected(placed.endpoint, placed.load, reason)
+        placement.load.record_end(True, now)
+        if placement.load.health.record_failure(now):
+            self._log_ejection(placement.endpoint, placement.load, reason)
 
-    def record_missing_weights(self, placed: Placed) -> None:
-        """Records that an engine does not hold the weights on which a request was placed there."""
+    def record_missing_weights(self, placement: Placement) -> None:
+        """Records that an engine refused a request because it does not hold the weights."""
         now = asyncio.get_running_loop().time()
-        self._told.record_refusal(placed.endpoint.id, now)
-        placed.load.health.probe_ended(now)
+        self._statuses.record_refusal(placement.endpoint.id, now)
+        placement.load.health.probe_ended(now)
 
-    def record_success(self, placed: Placed) -> None:
-        """Records a whole answer."""
-        placed.load.record_end(False, asyncio.get_running_loop().time())
-        if placed.load.health.record_success(0.0):
-            self._log.write(Event.ENDPOINT_RETURNED, endpoint=placed.endpoint.id)
+    def record_success(self, placement: Placement) -> None:
+        """Records a complete reply."""
+        placement.load.record_end(False, asyncio.get_running_loop().time())
+        if placement.load.health.record_success(0.0):
+            self._log.write(Event.ENDPOINT_RETURNED, endpoint=placement.endpoint.id)
 
-    def record_no_verdict(self, placed: Placed) -> None:
-        """Records the end of a request that tells nothing of the endpoint."""
-        placed.load.health.probe_ended(asyncio.get_running_loop().time())
+    def record_inconclusive_end(self, placement: Placement) -> None:
+        """Records the end of a request that says nothing about the endpoint's health."""
+        placement.load.health.probe_ended(asyncio.get_running_loop().time())
 
-    def take_status(self, status: Status) -> None:
-        """Takes what the sidecar beside an engine tells of it."""
+    def record_status(self, status: Status) -> None:
+        """Records a status that the sidecar of an engine sent."""
         now = asyncio.get_running_loop().time()
-        self._told.take(status, now)
+        self._statuses.record(status, now)
         load = status.load
-        figures = self._state.engine_of(status.service)
+        figures = self._state.engine_figures(status.service)
         lag = figures.report_lag if figures is not None else 0.0
         for endpoint in self._state.endpoints.endpoints:
             if endpoint.host == status.host and endpoint.service == status.service:
@@ -255,49 +264,54 @@
         for listed in self._state.endpoints.endpoints:
             if listed.service != service or listed.leaving or listed.id in tried:
                 continue
-            endpoint = listed if figures is None else self._told.with_reported_weights(listed, now)
+            endpoint = (
+                listed if figures is None else self._statuses.with_reported_weights(listed, now)
+            )
             load = self.load_of(endpoint)
             late = load.lateness.worst(now)
-            if figures is not None and not self._may_answer(endpoint, weights, late):
+            if figures is not None and not self._can_serve(endpoint, weights, late):
                 continue
-            near = endpoint.data_centre == self._near
-            first = figures is None or endpoint.id in self._first
-            self._judge_silence(endpoint, load, one_pass or load.run_seconds, now)
+            near = endpoint.data_centre == self._data_centre
+            first = figures is None or endpoint.id in self._preferred
+            self._check_silence(endpoint, load, one_pass or load.run_seconds, now)
             found.append(Candidate(endpoint, load, near, first, late))
         return found
 
-    def is_stalled(self, placed: Placed, heard_at: float, begun: bool) -> bool:
-        """Returns whether a request waits at an endpoint that stands still.
+    def is_stalled(
+        self, placement: Placement, last_activity_at: float, response_started: bool
+    ) -> bool:
+        """Returns whether a request waits at an endpoint that has stalled.
 
         Args:
-          heard_at: When something came of it, or it was placed.
+          last_activity_at: When its last event arrived, or else it was placed.
         """
         now = asyncio.get_running_loop().time()
-        figures = self._state.engine_of(placed.endpoint.service)
+        figures = self._state.engine_figures(placement.endpoint.service)
         one_pass = 0.0 if figures is None else pass_seconds(figures, figures.slots)
-        usual = one_pass or placed.load.run_seconds
-        self._judge_silence(placed.endpoint, placed.load, usual, now)
-        # Its work is what shows that it stands still. Moved before the verdict, none would be left
-        # to show it, and new work would go there.
-        if placed.load.health.health is Health.HEALTHY:
+        usual = one_pass or placement.load.run_seconds
+        self._check_silence(placement.endpoint, placement.load, usual, now)
+        # Only the requests in progress show that an endpoint has stalled. If they were moved
+        # while it still counts as healthy, nothing would show it any more, and new requests would
+        # be sent there.
+        if placement.load.health.health is Health.HEALTHY:
             return False
-        forecast = 0.0 if begun else placed.seconds
-        silent = is_silent(placed.load.silent_seconds(now), usual)
-        return silent and is_stalled(now - heard_at, forecast, usual)
+        forecast = 0.0 if response_started else placement.forecast_seconds
+        silent = is_silent(placement.load.silent_seconds(now), usual)
+        return silent and is_stalled(now - last_activity_at, forecast, usual)
 
-    def _judge_silence(
+    def _check_silence(
         self, endpoint: ListedEndpoint, load: EndpointLoad, usual: float, now: float
     ) -> None:
-        """Leaves out one that holds this entry's requests and says nothing.
+        """Ejects an endpoint that has requests of this entry and has sent nothing for too long.
 
         Args:
-          usual: The seconds in which something comes from it as a rule.
+          usual: The usual time in seconds between two responses of the endpoint.
         """
         silent = load.silent_seconds(now)
         if load.health.record_silence(silent, usual, now):
-            self._tell_ejected(endpoint, load, f"silent for {silent:.2f} s")
+            self._log_ejection(endpoint, load, f"silent for {silent:.2f} s")
 
-    def _tell_ejected(self, endpoint: ListedEndpoint, load: EndpointLoad, reason: str) -> None:
+    def _log_ejection(self, endpoint: ListedEndpoint, load: EndpointLoad, reason: str) -> None:
         self._log.write(
             Event.ENDPOINT_EJECTED,
             endpoint=endpoint.id,
@@ -306,29 +320,31 @@
         )
 
     def _others_rate(self, traffic: ServiceTraffic, endpoints: int, now: float) -> float:
-        """Returns how many requests a second others send to each endpoint, on average."""
+        """Returns the estimated requests per second that other entries send to each endpoint."""
         return traffic.rate.per_second(now) * (self._peer_entries.count - 1) / max(1, endpoints)
 
-    def _deal(self) -> None:
-        """Finds out which engines this entry sends to first, where anything has changed."""
-        entries = self._peer_entries.nearby()
-        state = (self._state.endpoints.version, tuple(entries))
-        if state == self._dealt_for:
+    def _assign_endpoints(self) -> None:
+        """Updates which engines this entry sends to first, if endpoints or entries changed."""
+        entries = self._peer_entries.local_entries()
+        inputs = (self._state.endpoints.version, tuple(entries))
+        if inputs == self._assigned_for:
             return
-        self._dealt_for = state
+        self._assigned_for = inputs
         by_service: dict[str, list[str]] = {}
         for endpoint in self._state.endpoints.endpoints:
-            if endpoint.data_centre == self._near and not endpoint.leaving:
+            if endpoint.data_centre == self._data_centre and not endpoint.leaving:
                 by_service.setdefault(endpoint.service, []).append(endpoint.id)
         shares = (
-            assign_endpoints(ids, entries, self._peer_entries.own) for ids in by_service.values()
+            assign_endpoints(ids, entries, self._peer_entries.own_address)
+            for ids in by_service.values()
         )
-        self._first = frozenset().union(*shares)
+        self._preferred = frozenset().union(*shares)
 
-    def _may_answer(self, endpoint: ListedEndpoint, weights: int, late: float) -> bool:
-        """Returns whether a request may be placed on what an engine holds.
+    def _can_serve(self, endpoint: ListedEndpoint, weights: int, late: float) -> bool:
+        """Returns whether a request may be placed on the weights that an engine holds.
 
         Args:
+          weights: The version that must answer; zero for any.
           late: By how many seconds requests have lately begun there later than forecast.
         """
         if not endpoint.whole or endpoint.weights <= 0:
@@ -337,7 +353,7 @@
             return False
         return endpoint.weights >= self._state.oldest_to_place(endpoint.model, late)
 
-    def _forget_unlisted(self) -> None:
+    def _drop_unlisted_loads(self) -> None:
         listed = {(e.id, e.started_at) for e in self._state.endpoints.endpoints}
         for key in [k for k, load in self._loads.items() if k not in listed and not load.own]:
             del self._loads[key]
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -1,4 +1,7 @@
-"""What an entry knows from the platform's store, each part replaced in one step."""
+"""What an entry knows from the platform's store: configuration, endpoints and versions.
+
+Each part is replaced in one step, so that readers never see a mixture of old and new.
+"""
 
 from ..config.deployment import Bounds
 from ..core.awake_clock import awake_seconds
@@ -16,36 +19,45 @@
 from ..platform import published_records
 from ..platform.published_records import ItemKind, kind_of
 
-# Endpoints of the two-year size and as many removals; beyond that the oldest removals go.
-MOST_ITEMS = 4096
-# Stands for "never" where a number is asked for.
-MOST_SECONDS_SHOWN = 1e6
+# Room for the endpoints of a fleet of the size planned for two years ahead, and as many removals.
+# Above it, the oldest removals are forgotten.
+MAX_ITEMS = 4096
+# Reported in place of an infinite age, where a finite number is required.
+MAX_REPORTED_SECONDS = 1e6
 
 
 class PublishedState:
     """Configuration, endpoints and wanted versions.
 
     Attributes:
-      routes: The configuration in force, or None before the first.
-      endpoints: Who is registered.
-      lease: How fresh all that is.
-      outages: When the store last did not answer.
-      revision: The store's revision up to which everything was taken; zero before the first.
+      routes: The routes of the configuration in force; None before the first configuration.
+      endpoints: The registered endpoints.
+      lease: How recent this state is known to be.
+      outages: The times at which the store did not answer.
+      revision: The store revision up to which all changes were applied; zero before the first.
     """
 
-    __slots__ = ("_log", "_bounds", "_floors", "_items", "_whole_after", "_reported")
+    __slots__ = (
+        "_log",
+        "_bounds",
+        "_version_floors",
+        "_items",
+        "_history_start",
+        "_reported_versions",
+    )
     __slots__ += ("routes", "endpoints", "lease", "outages", "revision")
 
     def __init__(self, bounds: Bounds, log: EventLog) -> None:
         self._log = log
         self._bounds = bounds
-        self._floors: dict[str, VersionFloor] = {}
-        # The newest version of each model that other processes have heard of.
-        self._reported: dict[str, int] = {}
-        # Every item as the store told it last, the removed included, for entries that the
-        # store turns away.
+        self._version_floors: dict[str, VersionFloor] = {}
+        # The newest version of each model that other processes have reported.
+        self._reported_versions: dict[str, int] = {}
+        # The latest state of every item of the store, including removed ones, for entries that
+        # cannot read the store themselves.
         self._items: dict[str, StoreChange] = {}
-        self._whole_after = 0
+        # Changes up to this revision may be missing from the items.
+        self._history_start = 0
         self.revision = 0
         self.routes: RouteTable | None = None
         self.endpoints = EndpointBook()
@@ -54,100 +66,107 @@
 
     @property
     def version(self) -> int:
-        """The configuration version in force, zero before the first."""
+        """The configuration version in force; zero before the first."""
         return self.routes.configuration.version if self.routes else 0
 
     @property
     def configuration(self) -> PublishedConfiguration | None:
-        """The configuration in force, or None before the first."""
+        """The configuration in force; None before the first."""
         return self.routes.configuration if self.routes else None
 
     def newest_version(self, model: str) -> int:
-        """Returns the newest version of a model that anybody has heard of; zero before the first.
+        """Returns the newest version of a model known to any process; zero before the first.
 
-        Only weights are brought by that. What may answer is judged by what the store said.
+        This only decides which weights are fetched. Which versions may answer requests is decided
+        from what the store itself said.
         """
-        floor = self._floors.get(model)
-        return max(floor.newest if floor else 0, self._reported.get(model, 0))
+        floor = self._version_floors.get(model)
+        return max(floor.newest if floor else 0, self._reported_versions.get(model, 0))
 
     def newest_seconds(self, model: str) -> float:
         """Returns for how long the newest version of a model has been wanted; zero if none is."""
-        floor = self._floors.get(model)
+        floor = self._version_floors.get(model)
         return floor.newest_seconds(awake_seconds()) if floor and floor.newest else 0.0
 
-    # Versions are dated by a clock that goes on while the instance is suspended. By the event
-    # loop's, an entry that wakes after a minute would place requests on weights whose time is
-    # long over, and callers would get text that nobody else serves any more.
+    # The ages of versions are measured by a clock that continues while the instance is suspended.
+    # By the event loop's clock, an entry that resumes after a minute would place requests on
+    # weights that expired long ago, and callers would get text that no other entry still serves.
 
     def oldest_to_place(self, model: str, late: float) -> int:
-        """Returns the oldest version of a model's weights that requests are placed on now.
+        """Returns the oldest version of a model that requests may be placed on now.
 
         Args:
-          late: The seconds by which a request may begin later than forecast where it goes.
+          late: By how many seconds a request may begin later than forecast at its endpoint.
         """
-        floor = self._floors.get(model)
+        floor = self._version_floors.get(model)
         if floor is None:
             return 0
         return floor.oldest_to_place(awake_seconds() + late, self.outages.latest)
 
     def placing_limits(self) -> tuple[PlacingLimit, ...]:
-        """Returns until when requests are placed on weights that were replaced, by version."""
+        """Returns until when requests are placed on replaced weights, by replacing version."""
         now, outage = awake_seconds(), self.outages.latest
         return tuple(
             limit
-            for model, floor in self._floors.items()
+            for model, floor in self._version_floors.items()
             for limit in floor.placing_limits(model, now, outage)
         )
 
     def may_begin(self, model: str, weights: int) -> bool:
-        """Returns whether a request on its way may still begin on some weights of a model."""
-        floor = self._floors.get(model)
+        """Returns whether a request that was placed on a version may still begin on it."""
+        floor = self._version_floors.get(model)
         if floor is None:
             return True
         return weights >= floor.oldest_to_begin(awake_seconds(), self.outages.latest)
 
     def record_reported_version(self, model: str, version: int, seconds: float) -> None:
-        """Records from another process how long ago it had heard of a version."""
-        self._reported[model] = max(version, self._reported.get(model, 0))
-        floor = self._floors.get(model)
+        """Records a version that another process reported.
+
+        Args:
+          seconds: For how long the other process has known the version.
+        """
+        self._reported_versions[model] = max(version, self._reported_versions.get(model, 0))
+        floor = self._version_floors.get(model)
         if floor is not None and version:
             floor.record_reported(version, seconds, awake_seconds())
 
     def named_versions(self) -> list[tuple[str, int, float]]:
-        """Returns model, version and for how many seconds it has been wanted, of each."""
+        """Returns each model, its newest version, and for how many seconds that was wanted."""
         now = awake_seconds()
         return [
             (model, floor.newest, floor.newest_seconds(now))
-            for model, floor in self._floors.items()
+            for model, floor in self._version_floors.items()
             if floor.newest
         ]
 
     def changes_after(self, revision: int) -> tuple[bool, list[StoreChange]]:
-        """Returns what changed after a revision, and whether it is everything there is."""
-        whole = revision < self._whole_after or not revision
-        if whole:
+        """Returns the changes after a revision, preceded by whether they are a full snapshot."""
+        snapshot = revision < self._history_start or not revision
+        if snapshot:
             return True, [change for change in self._items.values() if change.value is not None]
         return False, [change for change in self._items.values() if change.revision > revision]
 
-    def take_changes(self, reading: StoreReading, now: float, after: float = float("-inf")) -> None:
-        """Takes changes, in their order, up to a revision.
+    def apply_changes(
+        self, reading: StoreReading, now: float, not_before: float = float("-inf")
+    ) -> None:
+        """Applies changes in the order of their revisions.
 
         Args:
-          after: By the awake clock, when none of them had been made yet; the lease may know
-            a later moment.
+          not_before: A time by the awake clock before which none of the changes was made; the
+            lease may know a later one.
         """
         for change in sorted(reading.changes, key=lambda change: change.revision):
-            self.take_change(change, now, after)
+            self.apply_change(change, now, not_before)
         self.revision = max(self.revision, reading.revision)
 
-    def take_reading(self, reading: StoreReading, now: float) -> None:
-        """Takes everything that the store holds."""
-        # The configuration comes first: it says how many layers make an engine whole.
+    def apply_snapshot(self, reading: StoreReading, now: float) -> None:
+        """Applies a full snapshot of the store; items that are not in it are gone."""
+        # The configuration comes first, because it says how many layers make an engine complete.
         ordered = sorted(
             reading.changes, key=lambda change: kind_of(change.key) is not ItemKind.CONFIGURATION
         )
         for change in ordered:
-            self.take_change(change, now)
+            self.apply_change(change, now)
         listed = {
             published_records.endpoint_id_of(change.key)
             for change in reading.changes
@@ -157,43 +176,49 @@
             self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="not listed")
         kept = {change.key for change in reading.changes}
         self._items = {key: item for key, item in self._items.items() if key in kept}
-        self._whole_after = reading.revision
+        self._history_start = reading.revision
         self.revision = max(self.revision, reading.revision)
 
-    def take_change(self, change: StoreChange, now: float, after: float = float("-inf")) -> None:
-        """Takes one item as it is now, or its removal; see take_changes."""
-        self._remember(change)
+    def apply_change(
+        self, change: StoreChange, now: float, not_before: float = float("-inf")
+    ) -> None:
+        """Applies one changed or removed item; see apply_changes."""
+        self._store_item(change)
         kind = kind_of(change.key)
         if kind is ItemKind.ENDPOINT:
-            self._take_endpoint(published_records.endpoint_id_of(change.key), change, now)
+            self._apply_endpoint(published_records.endpoint_id_of(change.key), change, now)
         elif kind is ItemKind.CONFIGURATION and change.value is not None:
-            self._take_configuration(change)
+            self._apply_configuration(change)
         elif kind is ItemKind.VERSION and change.value is not None:
-            self._take_version(change, max(after, self.lease.dated))
+            self._apply_version(change, max(not_before, self.lease.dated))
 
-    def tick(self, now: float) -> None:
-        """Ends what only time ends."""
+    def expire_endpoints(self, now: float) -> None:
+        """Removes endpoints that were kept over a store outage and have not registered again."""
         for endpoint_id in self.endpoints.expire(now):
-            self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="not back")
+            self._log.write(
+                Event.ENDPOINT_UNLISTED,
+                endpoint=endpoint_id,
+                reason="not registered again after a store outage",
+            )
 
-    def engine_of(self, service: str) -> EngineFigures | None:
-        """Returns the figures of a service's engines, or None for a plain service."""
+    def engine_figures(self, service: str) -> EngineFigures | None:
+        """Returns the performance figures of a service's engines; None for a plain service."""
         known = self.routes.service(service) if self.routes else None
         return known.engine if known else None
 
-    def _remember(self, change: StoreChange) -> None:
+    def _store_item(self, change: StoreChange) -> None:
         known = self._items.get(change.key)
         if known is not None and known.revision >= change.revision:
             return
-        # Moved to the end, so that the oldest removals stand first and can be forgotten.
+        # Reinserted at the end, so that the oldest removals come first and can be forgotten.
         self._items.pop(change.key, None)
         self._items[change.key] = change
-        if len(self._items) > MOST_ITEMS:
-            gone = next((key for key, item in self._items.items() if item.value is None), None)
-            if gone is not None:
-                self._whole_after = max(self._whole_after, self._items.pop(gone).revision)
+        if len(self._items) > MAX_ITEMS:
+            oldest = next((key for key, item in self._items.items() if item.value is None), None)
+            if oldest is not None:
+                self._history_start = max(self._history_start, self._items.pop(oldest).revision)
 
-    def _take_configuration(self, change: StoreChange) -> None:
+    def _apply_configuration(self, change: StoreChange) -> None:
         try:
             configuration = published_records.decode_configuration(change.value or b"")
         except CodedError as error:
@@ -201,8 +226,8 @@
                 Event.REVISION_REFUSED, revision=change.revision, reason=str(error)[:300]
             )
             return
-        # A store that is restored or asked for a stale answer may offer an old version. In
-        # force again, it would undo an operator's change, and callers would meet old routes.
+        # A store that was restored from a backup, or a stale read, may return an old version. To
+        # apply it would undo an operator's change, and callers would get old routes.
         if configuration.version <= self.version:
             return
         self.routes = RouteTable(configuration)
@@ -214,7 +239,7 @@
             workspaces=len(configuration.workspaces),
         )
 
-    def _take_version(self, change: StoreChange, after: float) -> None:
+    def _apply_version(self, change: StoreChange, not_before: float) -> None:
         try:
             model, version = published_records.decode_version(change.value or b"")
         except CodedError as error:
@@ -222,24 +247,26 @@
                 Event.REVISION_REFUSED, revision=change.revision, reason=str(error)[:300]
             )
             return
-        floor = self._floors.setdefault(model, VersionFloor(self._bounds.version))
+        floor = self._version_floors.setdefault(model, VersionFloor(self._bounds.version))
         now = awake_seconds()
-        if floor.take(version, after, now):
-            age = min(now - after, MOST_SECONDS_SHOWN)
+        if floor.take(version, not_before, now):
+            age = min(now - not_before, MAX_REPORTED_SECONDS)
             self._log.write(
                 Event.VERSION_NAMED, model=model, version=version, evidence_age=round(age, 3)
             )
 
-    def _take_endpoint(self, endpoint_id: str, change: StoreChange, now: float) -> None:
+    def _apply_endpoint(self, endpoint_id: str, change: StoreChange, now: float) -> None:
         if change.value is None:
             if self.endpoints.take_removal(endpoint_id, change.revision, now):
                 self._log.write(Event.ENDPOINT_UNLISTED, endpoint=endpoint_id, reason="removed")
             return
         try:
-            endpoint = published_records.decode_endpoint(endpoint_id, change.value, self._layers)
+            endpoint = published_records.decode_endpoint(
+                endpoint_id, change.value, self._layer_count
+            )
         except CodedError as error:
-            # Anyone may write an entry. One that cannot be understood names nobody to send
-            # to, and must not disturb what the others say.
+            # Anyone may write a registration. One that cannot be decoded names no address to send
+            # to, and must not affect the others.
             self._log.write(
                 Event.ENDPOINT_UNREADABLE, endpoint=endpoint_id, reason=str(error)[:300]
             )
@@ -255,6 +282,6 @@
                 whole=endpoint.whole,
             )
 
-    def _layers(self, service: str) -> int:
-        figures = self.engine_of(service)
+    def _layer_count(self, service: str) -> int:
+        figures = self.engine_figures(service)
         return figures.layers if figures else 0
--- a/wasabidrum/gateway/published_state_test.py
+++ b/wasabidrum/gateway/published_state_test.py
@@ -1,4 +1,4 @@
-"""What an entry takes from others beside the store."""
+"""Tests of what an entry learns from other processes rather than from the store."""
 
 import unittest
 
@@ -10,11 +10,12 @@
 
 
 class ReportedVersionTest(unittest.TestCase):
-    """A version that other processes have heard of before this one."""
+    """A version that other processes knew before this one."""
 
-    def test_weights_are_brought_but_nothing_is_refused_for_it(self) -> None:
-        """A store that says nothing keeps an entry's call for seconds after sidecars have heard of
-        a version. Weights that wait for the entry are late by that."""
+    def test_reported_version_is_fetched_but_does_not_restrict_placement(self) -> None:
+        """A store that has nothing to say holds an entry's watch for seconds after sidecars have
+        learnt of a version. If the entry waited for the store, it would fetch the weights that
+        much later."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         state = PublishedState(Bounds(), log)
         state.record_reported_version("m", 3, 20.0)
--- a/wasabidrum/gateway/reported_statuses.py
+++ b/wasabidrum/gateway/reported_statuses.py
@@ -1,4 +1,4 @@
-"""What sidecars tell of the engines beside them, which is fresher than the platform's list."""
+"""Statuses that sidecars report of their engines, which are fresher than the platform's list."""
 
 import dataclasses
 
@@ -7,64 +7,71 @@
 from ..core.listed_endpoint import ListedEndpoint
 from ..core.status import Status
 
-# A sidecar tells something every 0.75 s; what is older is left to the platform's list.
-REPORT_TRUSTED_SECONDS = 2.0
-# How long an engine that refused a request for its weights gets none, unless its sidecar tells of
-# it meanwhile; and how late the sidecar's own account of it may be.
-REFUSED_SECONDS = 1.0
+# A sidecar sends a status every 0.75 s. If the last one is older than this, the platform's list
+# is used instead.
+MAX_REPORT_AGE_SECONDS = 2.0
+# How long an engine that refused a request for lack of its weights gets no more, unless its
+# sidecar reports meanwhile that it has weights.
+REFUSAL_HOLD_SECONDS = 1.0
+# How old a status may be when it arrives. One that arrives sooner than this after a refusal may
+# have been made before it.
 REPORT_LAG_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusReport:
-    """What a sidecar told last, and when by the event loop's clock."""
+    """The last status of a sidecar, and when it arrived, by the event loop's clock."""
 
     status: Status
-    at: float
+    received_at: float
 
 
 class ReportedStatuses:
-    """The latest account of each sidecar, by its host."""
+    """The latest status of each sidecar, by host."""
 
-    __slots__ = ("_told", "_refused")
+    __slots__ = ("_reports", "_refused_at")
 
     def __init__(self) -> None:
-        self._told: dict[str, StatusReport] = {}
-        self._refused: dict[str, float] = {}
+        self._reports: dict[str, StatusReport] = {}
+        self._refused_at: dict[str, float] = {}
 
-    def take(self, status: Status, now: float) -> None:
-        """Takes a sidecar's account."""
-        self._told[status.host] = StatusReport(status, now)
+    def record(self, status: Status, now: float) -> None:
+        """Records the status that a sidecar sent."""
+        self._reports[status.host] = StatusReport(status, now)
 
     def record_refusal(self, endpoint_id: str, now: float) -> None:
         """Records that an engine refused a request because it does not hold the weights.
 
-        The list names the weights that engines held before they lost power together. Taken for
-        failures of theirs, the refusals would keep all engines out after they are back.
+        After all engines lose power together, the platform's list still names the weights that
+        they held before. If the refusals counted as failures, every engine would stay ejected
+        after it is back.
         """
-        self._refused = {
-            name: at for name, at in self._refused.items() if now - at <= REFUSED_SECONDS
+        self._refused_at = {
+            name: at for name, at in self._refused_at.items() if now - at <= REFUSAL_HOLD_SECONDS
         }
-        self._refused[endpoint_id] = now
+        self._refused_at[endpoint_id] = now
 
     def with_reported_weights(self, listed: ListedEndpoint, now: float) -> ListedEndpoint:
-        """Returns an engine with the weights that its sidecar tells of, where that is fresher.
+        """Returns an engine with the weights that its sidecar reports, if that is fresher.
 
-        The platform's list follows an engine's switch by a second. Until then entries would
-        send to it under the old version, be refused, and leave an engine idle that is ready.
+        The platform's list is a second behind an engine's switch to a new version. Until then,
+        entries would send it requests for the old version, which it refuses, and an engine that
+        is ready would stay idle.
         """
-        told = self._told.get(listed.host)
-        refused_at = self._refused.get(listed.id, float("-inf"))
-        told_since = told is not None and told.at >= refused_at + REPORT_LAG_SECONDS
-        if now - refused_at <= REFUSED_SECONDS and not told_since:
+        report = self._reports.get(listed.host)
+        refused_at = self._refused_at.get(listed.id, float("-inf"))
+        reported_since = (
+            report is not None and report.received_at >= refused_at + REPORT_LAG_SECONDS
+        )
+        if now - refused_at <= REFUSAL_HOLD_SECONDS and not reported_since:
             return msgspec.structs.replace(listed, weights=0, whole=False)
         if (
-            told is None
-            or now - told.at > REPORT_TRUSTED_SECONDS
-            or told.status.service != listed.service
+            report is None
+            or now - report.received_at > MAX_REPORT_AGE_SECONDS
+            or report.status.service != listed.service
         ):
             return listed
-        status = told.status
+        status = report.status
         able = status.load.slots > 0 and not status.switching
         weights = int(status.version) if able and status.version.isdecimal() else 0
         return msgspec.structs.replace(
--- a/wasabidrum/gateway/reported_statuses_test.py
+++ b/wasabidrum/gateway/reported_statuses_test.py
@@ -1,4 +1,4 @@
-"""What entries take an engine to hold."""
+"""Tests of which weights entries assume that an engine holds."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 from ..core.listed_endpoint import ListedEndpoint
 from ..core.load import Load
 from ..core.status import Status
-from .reported_statuses import REFUSED_SECONDS, REPORT_LAG_SECONDS, ReportedStatuses
+from .reported_statuses import REFUSAL_HOLD_SECONDS, REPORT_LAG_SECONDS, ReportedStatuses
 
 LISTED = ListedEndpoint("e1", "text", "10.0.0.1", 80, "rift-a", model="m", weights=2, whole=True)
 
 
 def make_status(version: str) -> Status:
-    """Returns what the sidecar beside the engine tells."""
+    """Returns a status of the engine's sidecar."""
     return Status(
         name="s1",
         role=InstanceRole.SIDECAR,
@@ -29,23 +29,27 @@
     """An engine that the platform lists with version 2."""
 
     def setUp(self) -> None:
-        self.told = ReportedStatuses()
-
-    def test_an_engine_that_lost_its_weights_gets_no_requests_for_a_moment(self) -> None:
-        """All instances lost power, and the list still names what engines held. Each refusal
-        was taken for a failure, and engines that were back stayed out of service."""
-        self.told.record_refusal("e1", 10.0)
-        self.assertFalse(self.told.with_reported_weights(LISTED, 10.1).whole)
-        self.assertTrue(self.told.with_reported_weights(LISTED, 10.0 + REFUSED_SECONDS + 0.1).whole)
-
-    def test_it_is_back_as_soon_as_its_sidecar_says_so(self) -> None:
-        self.told.record_refusal("e1", 10.0)
-        self.told.take(make_status("2"), 10.0 + REPORT_LAG_SECONDS)
-        self.assertTrue(self.told.with_reported_weights(LISTED, 10.0 + REPORT_LAG_SECONDS).whole)
-
-    def test_an_account_that_may_be_older_than_the_refusal_does_not_count(self) -> None:
-        self.told.record_refusal("e1", 10.0)
-        self.told.take(make_status("2"), 10.0 + REPORT_LAG_SECONDS / 2)
+        self.statuses = ReportedStatuses()
+
+    def test_engine_that_refused_for_missing_weights_gets_no_requests_for_a_moment(self) -> None:
+        """All instances lost power, and the list still named the weights that engines had held.
+        Each refusal counted as a failure, and engines that were back stayed ejected."""
+        self.statuses.record_refusal("e1", 10.0)
+        self.assertFalse(self.statuses.with_reported_weights(LISTED, 10.1).whole)
+        self.assertTrue(
+            self.statuses.with_reported_weights(LISTED, 10.0 + REFUSAL_HOLD_SECONDS + 0.1).whole
+        )
+
+    def test_engine_is_used_again_as_soon_as_its_sidecar_reports_weights(self) -> None:
+        self.statuses.record_refusal("e1", 10.0)
+        self.statuses.record(make_status("2"), 10.0 + REPORT_LAG_SECONDS)
+        self.assertTrue(
+            self.statuses.with_reported_weights(LISTED, 10.0 + REPORT_LAG_SECONDS).whole
+        )
+
+    def test_status_that_may_be_older_than_the_refusal_is_ignored(self) -> None:
+        self.statuses.record_refusal("e1", 10.0)
+        self.statuses.record(make_status("2"), 10.0 + REPORT_LAG_SECONDS / 2)
         self.assertFalse(
-            self.told.with_reported_weights(LISTED, 10.0 + REPORT_LAG_SECONDS / 2).whole
+            self.statuses.with_reported_weights(LISTED, 10.0 + REPORT_LAG_SECONDS / 2).whole
         )
--- a/wasabidrum/gateway/service_traffic.py
+++ b/wasabidrum/gateway/service_traffic.py
@@ -1,16 +1,16 @@
-"""What an entry sends to one service, and how its forecasts turn out."""
+"""This entry's traffic to one service, and how accurate its forecasts are."""
 
 from ..decisions.forecast_bias import ForecastBias
 from ..decisions.send_rate import SendRate
 
 
 class ServiceTraffic:
-    """Counts of one service.
+    """Rates of one service.
 
     Attributes:
-      rate: Requests sent to its endpoints.
-      refusals: Requests refused for want of an endpoint.
-      bias: What first events took beside what was forecast.
+      rate: Requests sent to the service's endpoints.
+      refusals: Requests that were refused because no endpoint could take them.
+      bias: By how much the time to the first event differs from its forecast.
     """
 
     __slots__ = ("rate", "refusals", "bias")
@@ -21,6 +21,6 @@
         self.bias = ForecastBias()
 
     def refused_share(self, now: float) -> float:
-        """Returns the part of requests that was refused for want of room lately."""
+        """Returns the fraction of recent requests that no endpoint could take."""
         refused = self.refusals.per_second(now)
         return refused / max(1.0, refused + self.rate.per_second(now))
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -1,4 +1,4 @@
-"""Keeps what an entry knows up to date from the platform's store."""
+"""Keeps an entry's published state up to date with the platform's store."""
 
 import asyncio
 
@@ -10,108 +10,114 @@
 from ..platform.store_client import StoreClient, Watched
 from .published_state import PublishedState
 
-# A watch that ends without news renews the lease on the configuration. Its age when it ends is
-# the wait itself, so that two waits in a row stay well below the five seconds of the bound.
+# How long a watch waits for changes. A watch that ends without any renews the lease on the
+# configuration as of the start of the watch. The wait is short enough that the lease's age stays
+# well below its bound of five seconds over two waits in a row.
 WATCH_SECONDS = 1.2
-# What changes together is taken in one call: when engines switch, their registrations change
-# twenty times a second, and each entry would call as often. It delays a change by so much, of
-# the two seconds and more in which one is to be in force.
-GATHER_SECONDS = 0.25
-# Between two calls of which the first failed: long enough that a store that is down gets few
-# calls, short beside the two seconds in which a change is to be in force.
-PAUSE_SECONDS = 0.15
-LONGEST_PAUSE_SECONDS = 0.4
+# How long to wait before the next watch after one that brought changes, so that changes close
+# together are read in one call. When engines switch versions, registrations change twenty times a
+# second, and each entry would call as often. The delay counts towards the two seconds or more in
+# which a change has to take effect.
+BATCH_DELAY_SECONDS = 0.25
+# The delay before a retry, multiplied by the number of failures. It is long enough that a store
+# that is down gets few calls, and short compared to the two seconds in which a change has to take
+# effect.
+RETRY_DELAY_SECONDS = 0.15
+MAX_RETRY_DELAY_SECONDS = 0.4
 TICK_SECONDS = 0.1
 
 
 class StoreFollower:
-    """Reads all once, then watches; reads again where the store has dropped its history."""
+    """Reads a snapshot, then watches for changes; reads again if the store lost its history."""
 
-    __slots__ = ("_store", "_state", "_log", "_lost_history", "_failures")
-    __slots__ += ("_ticked_at", "_held_up", "_asked_at", "_quiet_until")
+    __slots__ = ("_store", "_state", "_log", "_history_lost", "_failures")
+    __slots__ += ("_ticked_at", "_stalled", "_asked_at", "_unchanged_until")
 
     def __init__(self, store: StoreClient, state: PublishedState, log: EventLog) -> None:
         self._store = store
         self._state = state
         self._log = log
-        self._lost_history = False
+        self._history_lost = False
         self._failures = 0
         self._ticked_at = awake_seconds()
         self._asked_at = awake_seconds()
-        # Until when nothing had happened before the watch in progress, as far as it shows.
-        self._quiet_until = float("-inf")
-        # Whether this process stood still since the store was last asked.
-        self._held_up = False
+        # The latest time, as far as known, before which the store had no changes that the watch
+        # in progress could bring.
+        self._unchanged_until = float("-inf")
+        # Whether this process was suspended or blocked since the last call to the store.
+        self._stalled = False
 
     async def run(self) -> None:
-        """Follows for ever."""
+        """Follows the store until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._poll()
             except CodedError as error:
-                await self._take_failure(error)
+                await self._handle_failure(error)
 
-    async def tick(self) -> None:
-        """Has time end what only time ends, for ever."""
+    async def run_ticks(self) -> None:
+        """Expires endpoints and detects stalls of this process periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            self._note_standstill()
+            self._detect_stall()
             self._ticked_at = awake_seconds()
-            self._state.tick(loop.time())
+            self._state.expire_endpoints(loop.time())
             await asyncio.sleep(TICK_SECONDS)
 
-    def _note_standstill(self) -> None:
-        # The tick is late by as much as the process was suspended, or busy with something else.
+    def _detect_stall(self) -> None:
+        # A tick is late by as much as the process was suspended or the event loop was blocked.
         if awake_seconds() - self._ticked_at > TICK_SECONDS + PROMPT_SECONDS:
-            self._held_up = True
+            self._stalled = True
 
-    async def _step(self) -> None:
+    async def _poll(self) -> None:
         asked_at = self._asked_at = awake_seconds()
-        self._held_up = False
+        self._stalled = False
         state = self._state
-        if not state.revision or self._lost_history:
-            self._quiet_until = float("-inf")
+        if not state.revision or self._history_lost:
+            self._unchanged_until = float("-inf")
             reading = await self._store.read(Watched.ALL)
-            self._take_answer()
-            state.take_reading(reading, asyncio.get_running_loop().time())
-            self._lost_history = False
+            self._record_answer()
+            state.apply_snapshot(reading, asyncio.get_running_loop().time())
+            self._history_lost = False
         else:
-            # One watch brings configuration, versions and endpoints in their order.
+            # A single watch returns changes of configuration, versions and endpoints in order.
             reading = await self._store.watch(Watched.ALL, state.revision, WATCH_SECONDS)
-            self._take_answer()
-            self._note_standstill()
+            self._record_answer()
+            self._detect_stall()
             answered_at = awake_seconds()
-            after = prompt_after(asked_at, answered_at, WATCH_SECONDS, self._held_up)
-            after = max(after, self._quiet_until)
-            state.take_changes(reading, asyncio.get_running_loop().time(), after)
-            self._quiet_until = asked_at
+            not_before = prompt_after(asked_at, answered_at, WATCH_SECONDS, self._stalled)
+            not_before = max(not_before, self._unchanged_until)
+            state.apply_changes(reading, asyncio.get_running_loop().time(), not_before)
+            self._unchanged_until = asked_at
             if not reading.changes:
-                self._quiet_until = quiet_until(asked_at, answered_at, WATCH_SECONDS, self._held_up)
+                self._unchanged_until = quiet_until(
+                    asked_at, answered_at, WATCH_SECONDS, self._stalled
+                )
         state.lease.renew(asked_at)
         if reading.changes:
-            await asyncio.sleep(GATHER_SECONDS)
+            await asyncio.sleep(BATCH_DELAY_SECONDS)
 
-    def _take_answer(self) -> None:
+    def _record_answer(self) -> None:
         self._state.outages.record_answer()
         if self._failures:
             self._log.write(Event.STORE_BACK, failures=self._failures)
             self._failures = 0
-            # What disappeared while nobody could be asked is judged from now on.
+            # Endpoints that disappeared during the outage get their time to return from now on.
             self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
 
-    async def _take_failure(self, error: CodedError) -> None:
+    async def _handle_failure(self, error: CodedError) -> None:
         if error.code == "history_lost":
             self._log.write(Event.STORE_HISTORY_LOST, revision=self._state.revision)
-            self._lost_history = True
+            self._history_lost = True
             return
-        self._note_standstill()
+        self._detect_stall()
         if error.code != "store_throttled":
             refused = error.code == "store_refused"
             self._state.outages.record_failure(
                 self._asked_at,
                 awake_seconds(),
                 refused,
-                self._held_up,
+                self._stalled,
                 self._state.lease.dated,
             )
         if not self._failures:
@@ -122,4 +128,4 @@
             )
         self._failures += 1
         self._state.endpoints.record_trouble(asyncio.get_running_loop().time())
-        await asyncio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * self._failures))
+        await asyncio.sleep(min(MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS * self._failures))
