--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -441,7 +441,7 @@
         """Callers keep connections to an entry that is stopped, and send on them until it is
         gone. Taken in its last seconds, a long answer would be cut in the middle."""
         stopping = asyncio.ensure_future(self.gateway.stop())
-        await self.fleet.wait_until(lambda: not self.gateway.takes_requests, 5.0)
+        await self.fleet.wait_until(lambda: not self.gateway.accepts_requests, 5.0)
         exchange = CallerExchange(self.gateway, None)
         exchange._head = read_request(RequestStartLine("POST", "/safe/a", ""), HTTPHeaders())
         with self.assertRaises(CodedError) as caught:
--- a/wasabidrum/gateway/daemon.py
+++ b/wasabidrum/gateway/daemon.py
@@ -71,7 +71,7 @@
 
     Attributes:
       shutting_down: Shutdown has begun; the readiness check fails.
-      takes_requests: False once the load balancer has had time to react to the shutdown; later
+      accepts_requests: False once the load balancer has had time to react to the shutdown; later
         requests are refused.
     """
 
@@ -80,7 +80,7 @@
         self._servers: list[httpserver.HTTPServer] = []
         self.log = log
         self.shutting_down = False
-        self.takes_requests = True
+        self.accepts_requests = True
         self.requests = RequestsInProgress()
         self.tasks = BackgroundTasks(self._log_task_failure)
         client = http_client.make_client()
@@ -178,7 +178,7 @@
         await asyncio.sleep(LOAD_BALANCER_DELAY_SECONDS)
         # Requests that arrive from here on might not end before the process does. Refused at
         # once, their callers lose a moment rather than half an answer.
-        self.takes_requests = False
+        self.accepts_requests = False
         for server in self._servers:
             server.stop()
         spent = asyncio.get_running_loop().time() - began
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -102,7 +102,7 @@
     async def _serve(self, head: RequestHead) -> None:
         if self._body_size > self._gateway.body_limit:
             raise CodedError("body_too_large", "the request body is too large", 413)
-        if not self._gateway.takes_requests:
+        if not self._gateway.accepts_requests:
             message = "this entry is shutting down"
             raise CodedError("entry_leaving", message, 503, retry_after=SHUTDOWN_RETRY_SECONDS)
         state = self._gateway.state
