--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -414,7 +414,7 @@
         await self.fleet.wait_until(lambda: self.gateway.peers.count == 2, 6.0)
         self.set_both(run_and_reset)
         await self.fleet.ask(0, "tally", "safe", "r1", KEY, body=b"poison")
-        await self.fleet.wait_until(lambda: len(second.guard) == 1, 2.0)
+        await self.fleet.wait_until(lambda: len(second.poison_guard) == 1, 2.0)
         await self.fleet.ask(1, "tally", "safe", "r2", KEY, body=b"poison")
         self.assertEqual(self.runs("r1") + self.runs("r2"), 2)
 
--- a/wasabidrum/gateway/daemon.py
+++ b/wasabidrum/gateway/daemon.py
@@ -87,8 +87,8 @@
         self.state = PublishedState(deployment.bounds, log)
         store = make_store_client(client, deployment.store)
         self._follower = StoreFollower(store, self.state, log)
-        self.guard = PoisonGuard()
-        self.peers = EntryPeers(deployment, self.state, self.guard, self.tasks, log)
+        self.poison_guard = PoisonGuard()
+        self.peers = EntryPeers(deployment, self.state, self.poison_guard, self.tasks, log)
         self.placer = Placer(self.state, log, deployment.data_centre, deployment.bounds, self.peers)
         self.attempts = AttemptsInProgress(self.state, self.placer, deployment.bounds.drain)
         self._load_watcher = LoadWatcher(
--- a/wasabidrum/gateway/forwarding.py
+++ b/wasabidrum/gateway/forwarding.py
@@ -101,7 +101,7 @@
             )
             try:
                 await attempt.run()
-                self._gateway.guard.clear(self._fingerprint)
+                self._gateway.poison_guard.clear(self._fingerprint)
                 return
             except AttemptError as error:
                 failure = error.code
@@ -120,7 +120,7 @@
           CodedError: The request is blocked; it was not run.
         """
         now = asyncio.get_running_loop().time()
-        if self._gateway.guard.is_blocked(self._fingerprint, now):
+        if self._gateway.poison_guard.is_blocked(self._fingerprint, now):
             message = "this request was in progress during two endpoint failures"
             raise CodedError("request_blocked", message, 503, retry_after=BLOCKED_RETRY_SECONDS)
 
@@ -225,7 +225,7 @@
 
     def _may_retry(self) -> bool:
         now = asyncio.get_running_loop().time()
-        blocked = self._gateway.guard.is_blocked(self._fingerprint, now)
+        blocked = self._gateway.poison_guard.is_blocked(self._fingerprint, now)
         return self._call.seconds_left > MIN_USEFUL_SECONDS and not blocked
 
     def _spend_retry(self) -> bool:
@@ -283,7 +283,7 @@
             self._gateway.placer.record_inconclusive_end(placement)
         if error.code in CONNECTION_LOSS_CODES:
             now = asyncio.get_running_loop().time()
-            self._gateway.guard.saw_death(self._fingerprint, placement.endpoint.id, now)
+            self._gateway.poison_guard.saw_death(self._fingerprint, placement.endpoint.id, now)
             self._gateway.peers.report_suspect(placement.endpoint.id, self._fingerprint)
             self._gateway.log.write(
                 Event.REQUEST_SUSPECTED,
