--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -29,7 +29,8 @@
 from .reported_statuses import ReportedStatuses
 from .service_traffic import ServiceTraffic
 
-# Calls of plain services are short; one is refused only if it could not end before its deadline.
+# A call of a plain service is short. It is refused if its forecast exceeds this fraction of the
+# time that its caller has left, because it could then not be expected to end in time.
 PLAIN_LATEST_FRACTION = 0.5
 # The share of the allowed retries that entries use. The rest is a reserve, because callers of one
 # service may send to endpoints of others, and entries know their own number only roughly.
