--- a/wasabidrum/entry/attempt_judge.py
+++ b/wasabidrum/entry/attempt_observer.py
@@ -1,4 +1,4 @@
-"""What attempts tell of the endpoints that they run at, and of the requests that they run."""
+"""Updates endpoint health, limits and poison suspicion from the course of attempts."""
 
 from ..decisions.endpoint_state import EndpointState
 from ..decisions.poison import PoisonGuard
@@ -7,7 +7,7 @@
 from .placement import Placement
 from .target_pool import TargetPool
 
-# Ends that say nothing against the endpoint.
+# Error codes that say nothing about the endpoint's health.
 NEUTRAL_CODES = frozenset(
     (
         "cancelled",
@@ -20,11 +20,11 @@
     )
 )
 DEATH_CODES = frozenset(("engine_lost", "answer_cut", "peer_unreachable"))
-SHORTEST_TIME = 1e-6
+DEADLINE_TOLERANCE_SECONDS = 1e-6
 
 
-class AttemptJudge:
-    """Turns the course of attempts into health, limits and suspicion."""
+class AttemptObserver:
+    """Derives endpoint health, concurrency limits and poison suspicion from attempts."""
 
     __slots__ = ("_guard", "_log", "_paused_at")
 
@@ -34,18 +34,18 @@
         self._paused_at = float("-inf")
 
     def record_pause(self, now: float) -> None:
-        """Records that this process stood still until now."""
+        """Records that this process was paused until now."""
         self._paused_at = now
 
     def record_progress(
         self, placement: Placement, pool: TargetPool, tokens: int, now: float
     ) -> None:
-        """Records tokens that arrived at one attempt."""
+        """Records that tokens of an attempt arrived."""
         item, state = placement.item, placement.state
         last = placement.progress_at
         placement.progress_at = now
         placement.tokens += tokens
-        item.tokens_done += tokens
+        item.tokens_received += tokens
         state.progress_at = now
         if last is None:
             state.streaming += 1
@@ -53,10 +53,10 @@
             return
         state.health.record_tokens(tokens, now - last)
         if self._is_slow(state, pool, now):
-            self.eject(pool, state, f"{state.health.token_seconds:.3f} s a token")
+            self.eject(pool, state, f"{state.health.token_seconds:.3f} s per token")
 
     def record_end(self, placement: Placement, pool: TargetPool, code: str, now: float) -> None:
-        """Records the end of one attempt."""
+        """Records the end of an attempt, with an empty code if it succeeded."""
         item, state = placement.item, placement.state
         state.ended()
         if placement.progress_at is not None:
@@ -64,16 +64,16 @@
         if placement.suspect:
             self._guard.ended(state.name)
         if not code:
-            self._take_success(placement, pool, now)
-        elif code in NEUTRAL_CODES or now >= item.deadline - SHORTEST_TIME:
-            # A caller's own short deadline says nothing against the endpoint; counted as a
-            # failure, a few such callers could have every endpoint taken out of service.
+            self._record_success(placement, pool, now)
+        elif code in NEUTRAL_CODES or now >= item.deadline - DEADLINE_TOLERANCE_SECONDS:
+            # A short deadline chosen by the caller says nothing about the endpoint. Counted as
+            # failures, a few such callers could have every endpoint taken out of service.
             state.health.probe_ended(now)
         else:
-            self._take_failure(placement, code, pool, now)
+            self._record_failure(placement, code, pool, now)
 
     def eject(self, pool: TargetPool, state: EndpointState, reason: str) -> None:
-        """Takes an endpoint out of service until a probe succeeds there."""
+        """Takes an endpoint out of service until a probe request succeeds there."""
         pool.refresh_soon()
         state.limit.restart()
         self._log.write(
@@ -84,33 +84,36 @@
         )
 
     def _is_slow(self, state: EndpointState, pool: TargetPool, now: float) -> bool:
-        """Takes the pace of an endpoint; returns whether that takes it out of service."""
-        # Tokens come thousands of times a second, so that all peers are read only where the
-        # endpoint is slow beside the fastest one of the last refresh.
-        suspicious = state.health.is_slower(pool.fastest)
+        """Records the endpoint's token rate; returns whether it is ejected as slow."""
+        # Tokens arrive thousands of times a second, so the median over all peers is computed
+        # only for an endpoint that is slow compared with the fastest one of the last refresh.
+        suspicious = state.health.is_slower(pool.fastest_token_seconds)
         median = pool.peer_token_seconds(state, now) if suspicious else 0.0
         return state.health.record_pace(median, now)
 
     def _record_first_token(self, placement: Placement, in_progress: int, now: float) -> None:
-        # Taken for the endpoint's, this process's own pause would cut the limits of all endpoints
-        # and end their first quick growth: callers would be refused beside endpoints with room.
-        if placement.began > self._paused_at:
-            seconds = now - placement.began
+        # A pause of this process delays first tokens at all endpoints. Attributed to them, it
+        # would cut their limits and end their slow start: callers would be refused although
+        # endpoints have room.
+        if placement.started_at > self._paused_at:
+            seconds = now - placement.started_at
             placement.state.limit.record_first_token(seconds, in_progress, now)
 
-    def _take_success(self, placement: Placement, pool: TargetPool, now: float) -> None:
+    def _record_success(self, placement: Placement, pool: TargetPool, now: float) -> None:
         item, state = placement.item, placement.state
-        item.whole = True
+        item.completed = True
         if item.fingerprint:
             self._guard.clear(item.fingerprint)
         if item.service:
             self._record_first_token(placement, state.in_progress + 1, now)
-        if state.health.record_success(pool.median):
+        if state.health.record_success(pool.median_token_seconds):
             state.limit.restart()
             pool.refresh_soon()
             self._log.write(Event.ENDPOINT_RETURNED, endpoint=state.name)
 
-    def _take_failure(self, placement: Placement, code: str, pool: TargetPool, now: float) -> None:
+    def _record_failure(
+        self, placement: Placement, code: str, pool: TargetPool, now: float
+    ) -> None:
         item, state = placement.item, placement.state
         state.limit.record_failure(now)
         lost = code == "engine_lost" or placement.head_at is not None
--- a/wasabidrum/entry/attempt_judge_test.py
+++ b/wasabidrum/entry/attempt_observer_test.py
@@ -1,4 +1,4 @@
-"""Which endpoints the course of attempts takes out of service as slow."""
+"""Tests which endpoints are ejected as slow, and what a pause of the entry itself changes."""
 
 import asyncio
 import unittest
@@ -10,14 +10,14 @@
 
 TOKEN_SECONDS = 0.01
 STREAMS_EACH = 4
-CALM_TOKENS = 100
+STEADY_TOKENS = 100
 
 
 class SlownessTest(unittest.TestCase):
-    """Two engines with streams, which are told of token by token."""
+    """Two engines with several streams each, whose tokens arrive one by one."""
 
-    def play(self, scenario) -> list[Health]:
-        """Plays a scenario after a calm second; returns what both engines are taken for."""
+    def run_scenario(self, scenario) -> list[Health]:
+        """Runs a scenario after one second at a steady pace; returns the health of both engines."""
 
         async def work() -> list[Health]:
             fleet = FakeFleet(engines=2, slots=8)
@@ -27,7 +27,7 @@
                 [self.place(name, other) for _ in range(STREAMS_EACH)]
                 for name, other in (("e0", "e1"), ("e1", "e0"))
             ]
-            for _ in range(CALM_TOKENS):
+            for _ in range(STEADY_TOKENS):
                 await self.progress(TOKEN_SECONDS, *streams)
             await scenario(*streams)
             fleet.stop()
@@ -36,49 +36,49 @@
         return run_with_paused_clock(work())
 
     def place(self, name: str, other: str) -> Placement:
-        """Places a stream at one of the engines, and has it begin."""
+        """Places a stream at one of the engines and reports its first token."""
         placement = self.traffic.place(self.make_item(), frozenset((other,)))
         self.assertEqual(placement.state.name, name)
         placement.progressed(1)
         return placement
 
     def make_item(self) -> WorkItem:
-        """Returns a request for text."""
+        """Returns a model request."""
         return WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "", 1000)
 
     async def progress(self, seconds: float, *streams: list[Placement]) -> None:
-        """Has some engines send a token of each stream after some seconds."""
+        """After some seconds, reports one token of each stream of the given engines."""
         await asyncio.sleep(seconds)
         for placements in streams:
             for placement in placements:
                 placement.progressed(1)
-        # A caller comes and goes; the entry looks at its endpoints whenever one does.
+        # The entry refreshes its view of the endpoints whenever a request is admitted.
         permit = await self.traffic.admit(self.make_item())
         permit.release()
 
-    async def play_slow(self, first: list[Placement], second: list[Placement]) -> None:
-        """Has one engine be ten times slower than the other for a second."""
+    async def slow_down_first(self, first: list[Placement], second: list[Placement]) -> None:
+        """Makes the first engine ten times slower than the second one for about a second."""
         for _ in range(10):
             for _ in range(9):
                 await self.progress(TOKEN_SECONDS, second)
             await self.progress(TOKEN_SECONDS, first, second)
 
-    def test_engines_that_slow_down_together_stay(self) -> None:
-        """The machine or the network that all engines share becomes busy, and each sends its
-        tokens five times slower from the same moment on. Held against the pace of before, all
-        are taken out within milliseconds, and callers are refused although engines answer."""
+    def test_engines_that_slow_down_together_are_not_ejected(self) -> None:
+        """The machine or network that all engines share becomes busy, and all of them send tokens
+        five times more slowly from the same moment on. Compared with the earlier pace, all would
+        be ejected within milliseconds, and callers refused although the engines answer."""
 
         async def scenario(first: list[Placement], second: list[Placement]) -> None:
             for _ in range(40):
                 await self.progress(5 * TOKEN_SECONDS, first)
                 await self.progress(0.006, second)
 
-        self.assertEqual(self.play(scenario), [Health.HEALTHY, Health.HEALTHY])
+        self.assertEqual(self.run_scenario(scenario), [Health.HEALTHY, Health.HEALTHY])
 
-    def test_one_short_pause_is_no_slowness(self) -> None:
-        """An engine pauses for a tenth of a second, as for a long prompt beside its streams,
-        and goes on as before. Every stream there tells of the same pause; counted as so many
-        slow tokens, the engine loses its share and callers find no room."""
+    def test_short_pause_is_not_slowness(self) -> None:
+        """An engine pauses for 0.1 s, as for a long prompt, and continues at its old pace. All of
+        its streams see the same pause. Counted as that many slow tokens, it would eject the engine
+        and leave callers without room."""
 
         async def scenario(first: list[Placement], second: list[Placement]) -> None:
             for _ in range(10):
@@ -87,31 +87,35 @@
             for _ in range(50):
                 await self.progress(TOKEN_SECONDS, first, second)
 
-        self.assertEqual(self.play(scenario), [Health.HEALTHY, Health.HEALTHY])
+        self.assertEqual(self.run_scenario(scenario), [Health.HEALTHY, Health.HEALTHY])
 
-    def test_the_last_healthy_one_stays(self) -> None:
-        """One of two engines is out as slow, and the other becomes slow as well. With nobody
-        beside it that is faster, to leave it out turns slow answers into none."""
+    def test_last_healthy_endpoint_stays(self) -> None:
+        """One of two engines has been ejected as slow, and the other one slows down as well.
+        Without a faster peer, ejecting it would turn slow answers into none."""
 
         async def scenario(first: list[Placement], second: list[Placement]) -> None:
-            await self.play_slow(first, second)
+            await self.slow_down_first(first, second)
             for _ in range(20):
                 await self.progress(10 * TOKEN_SECONDS, second)
 
-        self.assertEqual(self.play(scenario), [Health.SLOW, Health.HEALTHY])
+        self.assertEqual(self.run_scenario(scenario), [Health.SLOW, Health.HEALTHY])
 
-    def test_one_that_stays_slow_is_out_within_a_second(self) -> None:
-        """One of two engines decodes ten times slower than the other and does not recover.
-        Half of all callers wait ten times as long until it is left out."""
+    def test_persistently_slow_endpoint_is_ejected_within_a_second(self) -> None:
+        """One of two engines decodes ten times more slowly and does not recover. Half of all
+        callers wait ten times as long until it is ejected."""
 
-        self.assertEqual(self.play(self.play_slow), [Health.SLOW, Health.HEALTHY])
+        self.assertEqual(self.run_scenario(self.slow_down_first), [Health.SLOW, Health.HEALTHY])
 
 
 class OwnPauseTest(unittest.TestCase):
-    """An entry whose own process stands still while its first requests are in progress."""
+    """An entry whose own process is paused while its first requests are in progress."""
 
-    def play(self, notices: bool) -> float:
-        """Returns an engine's limit after a pause that the entry notices or does not."""
+    def measure_limit_ratio(self, detected: bool) -> float:
+        """Returns an engine's limit after a pause, relative to the limit before it.
+
+        Args:
+          detected: Whether the entry detects its pause.
+        """
 
         async def work() -> float:
             fleet = FakeFleet(engines=2, slots=8)
@@ -127,7 +131,7 @@
             before = limit.value
             placement = traffic.place(item, frozenset(("e1",)))
             await asyncio.sleep(1.5)
-            if notices:
+            if detected:
                 traffic.record_pause()
             placement.progressed(1)
             fleet.stop()
@@ -135,10 +139,10 @@
 
         return run_with_paused_clock(work())
 
-    def test_an_entrys_own_pause_does_not_cut_the_limits_of_its_endpoints(self) -> None:
-        """Guards against refusals as overloaded beside endpoints with room, after a pause."""
-        self.assertLess(self.play(notices=False), 1.0)
-        self.assertGreaterEqual(self.play(notices=True), 1.0)
+    def test_own_pause_does_not_cut_endpoint_limits(self) -> None:
+        """After a pause, callers were refused as overloaded although endpoints had room."""
+        self.assertLess(self.measure_limit_ratio(detected=False), 1.0)
+        self.assertGreaterEqual(self.measure_limit_ratio(detected=True), 1.0)
 
 
 if __name__ == "__main__":
--- a/wasabidrum/entry/caller_fuzz_test.py
+++ b/wasabidrum/entry/caller_fuzz_test.py
@@ -1,4 +1,4 @@
-"""Fuzzes the callers' port over real sockets, with everything behind it replaced."""
+"""Fuzzes the HTTP server for callers over real sockets; everything behind it is faked."""
 
 import asyncio
 import http.client
@@ -18,7 +18,7 @@
 from ..endpoints.service_reply import ServiceReply
 from ..observe.event import Event
 from .caller_routes import make_caller_server
-from .model_call import Generation
+from .model_call import TokenBatch
 
 KEY = "key"
 BODY_LIMIT = 2000
@@ -52,7 +52,7 @@
 
 
 class FakeEntry:
-    """Everything that the handlers reach, answering at once."""
+    """Fakes everything that the handlers use, and answers at once."""
 
     def __init__(self) -> None:
         workspace = WorkspaceSpec((digest_of(KEY.encode()),), ("m",), ("tally",))
@@ -72,21 +72,21 @@
         self.keys = None
 
     def write(self, event: Event, /, **facts: object) -> None:
-        """Takes an event; keeps those of faults of the daemon itself."""
+        """Receives a log event; keeps the reasons of unexpected handler failures."""
         if event is Event.HANDLER_FAILED:
             self.failures.append(str(facts["reason"]))
 
     async def generate(self, *asked: object):
-        """Answers with one token."""
-        yield Generation("v1", ["t"], True)
+        """Answers a model request with one token."""
+        yield TokenBatch("v1", ["t"], True)
 
     async def call(self, *asked: object) -> ServiceReply:
-        """Answers a call."""
+        """Answers a service call."""
         return ServiceReply(200, "text/plain\r\nX: y", b"done")
 
 
 class CallerFuzzTest(unittest.TestCase):
-    """Whatever a caller sends, the answer is well formed and nothing is left behind."""
+    """Whatever a caller sends, the response is well formed and no state is left behind."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -98,9 +98,9 @@
             sockets = netutil.bind_sockets(0, "127.0.0.1")
             cls.port = sockets[0].getsockname()[1]
             make_caller_server(cls.entry).add_sockets(sockets)
-            cls.ended = asyncio.Event()
+            cls.stopped = asyncio.Event()
             started.set()
-            await cls.ended.wait()
+            await cls.stopped.wait()
 
         cls.thread = threading.Thread(target=cls.loop.run_until_complete, args=(serve(),))
         cls.thread.start()
@@ -108,12 +108,12 @@
 
     @classmethod
     def tearDownClass(cls) -> None:
-        cls.loop.call_soon_threadsafe(cls.ended.set)
+        cls.loop.call_soon_threadsafe(cls.stopped.set)
         cls.thread.join()
         cls.loop.close()
 
     def send(self, request: bytes) -> http.client.HTTPResponse | None:
-        """Sends bytes; returns the answer, or None where the entry waits for more or closed."""
+        """Sends bytes; returns the response, or None if the entry closes or waits for more."""
         with socket.create_connection(("127.0.0.1", self.port), ANSWER_SECONDS) as connection:
             connection.sendall(request)
             response = http.client.HTTPResponse(connection)
@@ -124,8 +124,8 @@
                 return None
             return response
 
-    def judge(self, response: http.client.HTTPResponse | None) -> None:
-        """Fails on an answer that is no caller's fault, or an error without its code."""
+    def check_response(self, response: http.client.HTTPResponse | None) -> None:
+        """Fails on a server error, or on an error response without a code."""
         self.assertEqual(self.entry.failures, [])
         if response is None or response.status < 400 or not response.body:
             return
@@ -137,30 +137,30 @@
     @FUZZ
     @hypothesis.given(PATHS, VALUES, strategies.booleans())
     def test_bodies(self, path: str, value: object, chunked: bool) -> None:
-        """A till's software builds its JSON wrongly: other types, too long, odd characters.
-        It is told what is wrong; the fault never shows as one of the server's."""
+        """A caller's software builds faulty JSON: wrong types, too long, odd characters. It must be
+        told what is wrong; its mistakes must never appear as server errors."""
         body = json.dumps(value).encode()
         how = f"Content-Length: {len(body)}"
         if chunked:
             how = "Transfer-Encoding: chunked"
             body = b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body) if body else b"0\r\n\r\n"
         head = f"POST {path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n{how}\r\n\r\n"
-        hypothesis.assume(not self.is_two_heads(path))
-        self.judge(self.send(head.encode("latin-1") + body))
+        hypothesis.assume(not self.breaks_request_line(path))
+        self.check_response(self.send(head.encode("latin-1") + body))
 
     @FUZZ
     @hypothesis.given(
         METHODS, PATHS, strategies.lists(strategies.tuples(HEADER_NAMES, HEADER_VALUES), max_size=5)
     )
     def test_heads(self, method: str, path: str, lines: list[tuple[str, str]]) -> None:
-        """A scanner, or a proxy on the way that rewrites headers, sends heads that no library
-        would. Each is answered or closed, and the daemon's own code never fails over one."""
+        """A scanner, or a proxy that rewrites headers, sends heads that no HTTP library would. Each
+        must be answered or its connection closed, without a failure in the daemon's own code."""
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n"
         head += "".join(f"{name}: {value}\r\n" for name, value in lines) + "\r\n"
-        self.judge(self.send(head.encode("latin-1") + b"hello"))
+        self.check_response(self.send(head.encode("latin-1") + b"hello"))
 
-    def is_two_heads(self, path: str) -> bool:
-        """Returns whether a path ends the request's first line."""
+    def breaks_request_line(self, path: str) -> bool:
+        """Returns whether a path contains a line break, which would end the request line."""
         return any(mark in path for mark in "\r\n")
 
     def test_nothing_is_left_in_progress(self) -> None:
--- a/wasabidrum/entry/caller_handler_owner.py
+++ b/wasabidrum/entry/caller_handler_owner.py
@@ -1,4 +1,4 @@
-"""What the handlers for callers need of the daemon that they answer for."""
+"""The interface of the entry daemon as the HTTP handlers for callers use it."""
 
 import typing
 
@@ -10,13 +10,13 @@
 
 
 class CallerHandlerOwner(typing.Protocol):
-    """Who takes requests from callers.
+    """The daemon that a caller's handler belongs to.
 
     Attributes:
       follower: Holds the configuration in force.
-      leaving: Whether new requests are refused.
-      log: Where handlers tell what became of a request.
-      requests: Counts the requests in progress, which a stop waits for.
+      leaving: Whether the daemon is shutting down and refuses new requests.
+      log: Where handlers log the result of each request.
+      requests: Counts the requests in progress, which a shutdown waits for.
       models: Runs requests to models.
       services: Makes calls to plain services.
     """
--- a/wasabidrum/entry/caller_request.py
+++ b/wasabidrum/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request after its head was checked."""
+"""A caller's request after its head has been validated."""
 
 import asyncio
 import dataclasses
@@ -9,12 +9,13 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerRequest:
-    """Who asks, under which revision, and until when.
+    """Who sent a request, under which configuration revision it runs, and its deadline.
 
     Attributes:
-      revision: The configuration that this request begins and ends under.
+      revision: The configuration revision that is used for the whole of this request.
       deadline: When the caller stops waiting, by the event loop's clock.
-      awake_deadline: The same, by the clock that counts while the instance is suspended.
+      awake_deadline: The same moment by the boot-time clock, which keeps counting while the
+        instance is suspended.
     """
 
     request_id: str
@@ -27,7 +28,7 @@
 def make_caller_request(
     request_id: str, workspace: str, revision: FleetRevision, seconds: float
 ) -> CallerRequest:
-    """Returns the request of a caller who waits for some seconds from now."""
+    """Returns a request whose caller waits for the given number of seconds from now."""
     deadline = asyncio.get_running_loop().time() + seconds
     awake_deadline = awake_seconds() + seconds
     return CallerRequest(request_id, workspace, revision, deadline, awake_deadline)
--- a/wasabidrum/entry/caller_routes.py
+++ b/wasabidrum/entry/caller_routes.py
@@ -1,8 +1,8 @@
-"""The paths that callers reach, and the server that reads them."""
+"""The HTTP routes for callers and the server that serves them."""
 
 from tornado import httpserver, web
 
-from .caller_handler import BODY_SECONDS, DISCARDED_BYTES, LINGER_SECONDS
+from .caller_handler import BODY_TIMEOUT_SECONDS, LINGER_SECONDS, MAX_DISCARDED_BYTES
 from .caller_handler_owner import CallerHandlerOwner
 from .chat_handler import ChatHandler
 from .health_handler import HealthHandler
@@ -11,30 +11,30 @@
 from .service_handler import ServiceHandler
 from .unknown_path_handler import UnknownPathHandler
 
-# A head that trickles in is cut after this time, as is a connection with nothing to do.
+# An idle connection, or one whose request head arrives slower than this, is closed.
 IDLE_CONNECTION_SECONDS = 60.0
-LARGEST_HEAD_BYTES = 16_384
+MAX_HEAD_BYTES = 16_384
 
 
 def make_caller_server(entry: CallerHandlerOwner) -> httpserver.HTTPServer:
-    """Returns a server for callers that is not bound to a port yet."""
-    given = {"entry": entry}
+    """Returns the HTTP server for callers, not yet bound to a port."""
+    handler_args = {"entry": entry}
     application = web.Application(
         [
-            (r"/v1/completions", ModelHandler, given),
-            (r"/v1/chat/completions", ChatHandler, given),
-            (r"/v1/idempotency-keys", KeyHandler, given),
-            (r"/services/([A-Za-z0-9._-]+)/.*", ServiceHandler, given),
-            (r"/healthz", HealthHandler, given),
+            (r"/v1/completions", ModelHandler, handler_args),
+            (r"/v1/chat/completions", ChatHandler, handler_args),
+            (r"/v1/idempotency-keys", KeyHandler, handler_args),
+            (r"/services/([A-Za-z0-9._-]+)/.*", ServiceHandler, handler_args),
+            (r"/healthz", HealthHandler, handler_args),
         ],
         default_handler_class=UnknownPathHandler,
-        default_handler_args=given,
+        default_handler_args=handler_args,
         log_function=lambda handler: None,
     )
     return httpserver.HTTPServer(
         application,
-        max_body_size=DISCARDED_BYTES,
-        max_header_size=LARGEST_HEAD_BYTES,
-        body_timeout=BODY_SECONDS + LINGER_SECONDS,
+        max_body_size=MAX_DISCARDED_BYTES,
+        max_header_size=MAX_HEAD_BYTES,
+        body_timeout=BODY_TIMEOUT_SECONDS + LINGER_SECONDS,
         idle_connection_timeout=IDLE_CONNECTION_SECONDS,
     )
--- a/wasabidrum/entry/chat_body.py
+++ b/wasabidrum/entry/chat_body.py
@@ -7,7 +7,7 @@
 
 
 class ChatBody(msgspec.Struct):
-    """What a caller may say of a chat; other keys of the usual API are passed over."""
+    """The supported keys of a chat request; other keys of the usual API are ignored."""
 
     model: str
     messages: list[ChatMessage]
@@ -15,6 +15,6 @@
     stream: bool = False
 
     def as_completion(self) -> CompletionBody:
-        """Returns the completion that this chat asks for, its messages joined into a prompt."""
+        """Returns the equivalent completion request, with the messages joined into a prompt."""
         prompt = "\n".join(f"{message.role}: {message.content}" for message in self.messages)
         return CompletionBody(self.model, prompt, self.max_tokens, self.stream)
--- a/wasabidrum/entry/chat_handler.py
+++ b/wasabidrum/entry/chat_handler.py
@@ -1,4 +1,4 @@
-"""Answers chats, whole or as server-sent events."""
+"""Serves chat completions, as one response or as server-sent events."""
 
 import msgspec
 
@@ -8,16 +8,16 @@
 
 
 class ChatHandler(ModelHandler):
-    """POST /v1/chat/completions."""
+    """Serves POST /v1/chat/completions."""
 
     object_name = "chat.completion"
 
-    def read_body(self) -> CompletionBody:
-        """Returns what the caller asks for."""
+    def decode_body(self) -> CompletionBody:
+        """Decodes the body and returns it as a completion request."""
         return msgspec.json.decode(self.body, type=ChatBody).as_completion()
 
-    def choice(self, text: str, reason: str | None, whole: bool) -> dict[str, object]:
-        """Returns the only choice of a chat."""
-        key = "message" if whole else "delta"
+    def choice(self, text: str, reason: str | None, complete: bool) -> dict[str, object]:
+        """Returns the single choice of a chat response or of one of its events."""
+        key = "message" if complete else "delta"
         content = {"role": "assistant", "content": text}
         return {"index": 0, key: content, "finish_reason": reason}
--- a/wasabidrum/entry/chat_message.py
+++ b/wasabidrum/entry/chat_message.py
@@ -4,7 +4,7 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """Who said what."""
+    """The role of the speaker and the text."""
 
     role: str
     content: str
--- a/wasabidrum/entry/completion_body.py
+++ b/wasabidrum/entry/completion_body.py
@@ -5,13 +5,13 @@
 import msgspec
 
 DEFAULT_MAX_TOKENS = 16
-LARGEST_MAX_TOKENS = 100_000
+MAX_TOKENS_LIMIT = 100_000
 
-MaxTokens = typing.Annotated[int, msgspec.Meta(ge=1, le=LARGEST_MAX_TOKENS)]
+MaxTokens = typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS_LIMIT)]
 
 
 class CompletionBody(msgspec.Struct):
-    """What a caller may say of a completion; other keys of the usual API are passed over."""
+    """The supported keys of a completion request; other keys of the usual API are ignored."""
 
     model: str
     prompt: str
--- a/wasabidrum/entry/daemon.py
+++ b/wasabidrum/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: takes callers' requests and routes them to endpoints."""
+"""The entry daemon: accepts callers' requests and routes them to endpoints."""
 
 import asyncio
 
@@ -28,26 +28,27 @@
 from .service_call import ServiceCaller
 from .traffic import Traffic
 
-# How long a leaving entry still answers new requests, with a refusal that says so: a balancer
-# that has not noticed yet would otherwise turn them into resets that tell callers nothing.
+# How long a stopping entry still accepts connections and refuses requests with a proper error.
+# Until a load balancer notices, it keeps sending requests here; closing the port at once would
+# reset those connections and tell the callers nothing.
 LEAVING_NOTICE_SECONDS = 1.0
 
 
 class StatusHandler(web.RequestHandler):
-    """GET /internal/status."""
+    """Serves GET /internal/status."""
 
     def initialize(self, entry: "Entry") -> None:
-        """Takes the entry from the route."""
+        """Receives the entry from the route's arguments."""
         self.entry = entry
 
     def get(self) -> None:
-        """Answers with this daemon's own account of itself."""
+        """Responds with this daemon's current status."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.entry.status()))
 
 
 class Entry:
-    """Owns the entry's tasks and serves callers."""
+    """Wires up the parts of the entry daemon, starts them and shuts them down."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         self._settings = settings
@@ -82,11 +83,11 @@
         self.services = ServiceCaller(client, traffic, self.table, log)
 
     async def start(self) -> None:
-        """Listens and starts the background tasks."""
-        given = {"entry": self}
+        """Starts the servers and the background tasks."""
+        handler_args = {"entry": self}
         internal = web.Application(
             [
-                (r"/internal/status", StatusHandler, given),
+                (r"/internal/status", StatusHandler, handler_args),
                 (r"/internal/control", ControlHandler, {"node": self.node}),
                 *make_routes(self.log),
             ],
@@ -127,7 +128,7 @@
         add("leaving", "One while this daemon takes no new work.", lambda: self.leaving)
 
     async def stop(self) -> None:
-        """Leaves gracefully: refuses new requests, ends those in progress, then stops."""
+        """Shuts down gracefully: refuses new requests, drains those in progress, then stops."""
         self.leaving = True
         self.node.wake_all()
         self.log.write(Event.DAEMON_LEAVING, in_progress=self.requests.count)
@@ -140,7 +141,7 @@
         self.log.write(Event.DAEMON_STOPPED, in_progress=self.requests.count)
 
     def status(self) -> Status:
-        """Returns this daemon's own account of itself."""
+        """Returns this daemon's current status, with the next sequence number."""
         self._sequence += 1
         current = self.follower.current
         return Status(
@@ -173,5 +174,5 @@
 
 
 def make_entry(settings: Settings, log: EventLog) -> Entry:
-    """Returns an entry that has not started."""
+    """Returns an entry that has not been started."""
     return Entry(settings, log)
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the endpoints: who they are, what they hold, how loaded they are."""
+"""The entry's view of its endpoints: identity, last status and liveness."""
 
 import asyncio
 import collections.abc
@@ -18,11 +18,11 @@
 POLL_SECONDS = 0.5
 STATUS_TIMEOUT_SECONDS = 1.0
 STATUS_EXPIRES_SECONDS = 2.0
-LAST_RESORT_SECONDS = 30.0
-# A process that slept, or whose machine is busy, is heard again within this time; one that is
-# silent for longer is taken for hung.
-BACK_WITHIN_SECONDS = 4.0
-HEARD_LOOK_SECONDS = 0.1
+LAST_RESORT_STATUS_SECONDS = 30.0
+# A process that was paused, or whose machine is busy, is usually heard again within this time. One
+# that is silent for longer is considered hung, and nobody waits for it.
+MAX_RECOVERABLE_SILENCE_SECONDS = 4.0
+HEARD_POLL_SECONDS = 0.1
 SILENT_FRACTION = 0.5
 
 
@@ -32,25 +32,26 @@
 
     Attributes:
       seen_at: When its sidecar was last heard, by the event loop's clock.
-      told_at: When its status arrived, by the clock that counts while suspended.
-      in_progress: Requests of this entry that run there.
-      lost: Its stream broke, or it refuses connections; cleared when it is heard again.
+      status_arrived_at: When its status arrived, by the boot-time clock, which keeps counting
+        while the instance is suspended.
+      in_progress: The number of this entry's requests that run there.
+      lost: Whether it refused connections since it was last heard.
     """
 
     instance: Instance
     status: Status | None = None
     seen_at: float = 0.0
-    told_at: float = 0.0
+    status_arrived_at: float = 0.0
     in_progress: int = 0
     lost: bool = False
 
     @property
     def url(self) -> str:
-        """Where the sidecar takes the fleet's requests."""
+        """The base URL of the sidecar's internal API."""
         return tls.fleet_url(self.instance.host, self.instance.http_port)
 
-    def hear(self, status: Status) -> bool:
-        """Takes what the sidecar says of itself, unless it is older than what is held."""
+    def update_status(self, status: Status) -> bool:
+        """Stores a status of the sidecar, unless the one already stored is newer."""
         held = self.status
         if held is not None and (held.incarnation, held.sequence) > (
             status.incarnation,
@@ -59,19 +60,19 @@
             return False
         self.status = status
         self.seen_at = asyncio.get_running_loop().time()
-        self.told_at = awake_seconds()
+        self.status_arrived_at = awake_seconds()
         self.lost = False
         return True
 
 
 class EndpointTable:
-    """Keeps views of the endpoints that this entry works over.
+    """Keeps a view of each endpoint that this entry works with.
 
-    EndpointWatcher feeds it from streams. Its own run() polls every listed sidecar, and is
-    the baseline that benches compare with.
+    EndpointWatcher feeds it from streams. Its own run() polls every listed sidecar instead; that
+    is the baseline with which the benchmarks compare.
 
     Attributes:
-      find_member: Returns where a daemon listens that this entry does not watch, or None.
+      find_member: Returns the instance of a daemon that this entry does not watch, or None.
     """
 
     __slots__ = ("_client", "_directory", "_views", "find_member")
@@ -80,17 +81,17 @@
         self._client = client
         self._directory = directory
         self._views: dict[str, EndpointView] = {}
-        self.find_member: collections.abc.Callable[[str], Instance | None] = find_nobody
+        self.find_member: collections.abc.Callable[[str], Instance | None] = find_no_member
 
     @property
     def views(self) -> list[EndpointView]:
-        """Every endpoint known, also those that cannot take work."""
+        """All known endpoints, including those that cannot take work."""
         return list(self._views.values())
 
     def find(self, name: str) -> EndpointView | None:
-        """Returns the view of an endpoint, also of one that this entry sends no new work to.
+        """Returns the view of an endpoint, even if this entry sends no new work there.
 
-        A caller may ask for the outcome of its call through any entry, while only some
+        A caller may ask for the outcome of its call through any entry, while only some entries
         watch the endpoint that ran it.
         """
         view = self._views.get(name)
@@ -100,18 +101,18 @@
         return EndpointView(instance) if instance is not None else None
 
     async def run(self) -> None:
-        """Asks for ever."""
+        """Polls the instance list and the status of every sidecar, forever."""
         while True:
             try:
                 listed = await self._directory.read()
-                self.take_list(listed.instances)
+                self.update_instances(listed.instances)
             except CodedError:
                 pass
             await asyncio.gather(*(self._poll(view) for view in self.views))
             await asyncio.sleep(POLL_SECONDS)
 
-    def take_list(self, instances: tuple[Instance, ...]) -> None:
-        """Takes the platform's list, keeping what is known of those that stay."""
+    def update_instances(self, instances: tuple[Instance, ...]) -> None:
+        """Applies a new instance list, keeping views whose instance has the same port."""
         views = {}
         for instance in instances:
             if instance.role is not InstanceRole.SIDECAR:
@@ -125,105 +126,107 @@
         self._views = views
 
     def take_status(self, status: Status) -> bool:
-        """Takes what a sidecar says of itself; an older account than the one held is dropped.
+        """Records a status of a sidecar, unless the one already stored is newer.
 
         Returns:
-          Whether the endpoint was out of routing for silence and is back.
+          Whether an endpoint that was marked as lost has returned.
         """
         view = self._views.get(status.name)
         if view is None:
             return False
         was_lost = view.lost
-        return view.hear(status) and was_lost
+        return view.update_status(status) and was_lost
 
-    def record_loss(self, name: str, broken: bool) -> bool:
-        """Records evidence that a sidecar is gone, or for now only that it is silent.
+    def record_loss(self, name: str, refused: bool) -> bool:
+        """Records the loss of a sidecar's stream; only a refused connection marks it as lost.
 
         Returns:
-          Whether that takes it out of routing just now.
+          Whether the endpoint has just been taken out of routing.
         """
         view = self._views.get(name)
         if view is None or view.lost:
             return False
-        view.lost = broken
-        was_in = view.seen_at > float("-inf")
-        return broken and was_in
+        view.lost = refused
+        was_routable = view.seen_at > float("-inf")
+        return refused and was_routable
 
-    def forgive(self, seconds: float) -> None:
-        """Takes that this process itself slept: silence meanwhile is no evidence."""
+    def exclude_pause(self, seconds: float) -> None:
+        """Shifts the times of all views by a pause of this process, which explains silence."""
         for view in self._views.values():
             view.seen_at += seconds
 
     def candidates(self, model: str, service: str) -> list[EndpointView]:
         """Returns the endpoints that can take a request for a model or a service now."""
         now = asyncio.get_running_loop().time()
-        able = [view for view in self._views.values() if can_serve(view, model, service)]
-        heard = [view for view in able if now - view.seen_at <= STATUS_EXPIRES_SECONDS]
+        capable = [view for view in self._views.values() if can_serve(view, model, service)]
+        heard = [view for view in capable if now - view.seen_at <= STATUS_EXPIRES_SECONDS]
         if heard:
             return heard
-        # Where most endpoints fell silent together, this entry may be the one that hears
-        # nothing. To route to nobody would turn its deafness into an outage for its
-        # callers; a wrong guess costs one attempt.
-        lately = [view for view in self._views.values() if view.seen_at > 0.0 and not view.lost]
-        silent = sum(now - view.seen_at > STATUS_EXPIRES_SECONDS for view in lately)
-        if silent <= len(lately) * SILENT_FRACTION:
+        # If most endpoints fell silent together, the fault is probably this entry's own. Routing
+        # nowhere would turn it into an outage for all callers, while a wrong guess costs one
+        # attempt. Endpoints that were silent for a limited time are therefore still used.
+        heard_before = [
+            view for view in self._views.values() if view.seen_at > 0.0 and not view.lost
+        ]
+        silent = sum(now - view.seen_at > STATUS_EXPIRES_SECONDS for view in heard_before)
+        if silent <= len(heard_before) * SILENT_FRACTION:
             return []
-        return [view for view in able if now - view.seen_at <= LAST_RESORT_SECONDS]
+        return [view for view in capable if now - view.seen_at <= LAST_RESORT_STATUS_SECONDS]
 
     async def wait_until_heard(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
     ) -> bool:
-        """Waits for an endpoint that is only silent; returns whether one can take work again.
+        """Waits for endpoints that are silent; returns whether one can take work again.
 
-        An instance that sleeps for two seconds while the other one of its service leaves is no
-        reason to refuse every caller of that service.
+        If one instance of a service is paused for two seconds while the other one leaves, the
+        service's callers should wait and not all be refused.
 
         Args:
           deadline: When to give up, by the event loop's clock.
-          tried: Endpoints that are of no use here.
+          tried: Endpoints that do not count, since they were already tried.
         """
-        if self._is_heard(model, service, tried):
-            # Not for silence, then, does none take work.
+        if self._has_candidate(model, service, tried):
+            # An endpoint is being heard, so silence is not the reason that none takes work.
             return False
         loop = asyncio.get_running_loop()
-        while loop.time() < deadline and self._may_be_heard(model, service, tried):
-            await asyncio.sleep(HEARD_LOOK_SECONDS)
-            if self._is_heard(model, service, tried):
+        while loop.time() < deadline and self._may_be_heard_again(model, service, tried):
+            await asyncio.sleep(HEARD_POLL_SECONDS)
+            if self._has_candidate(model, service, tried):
                 return True
         return False
 
-    def _is_heard(self, model: str, service: str, tried: frozenset[str]) -> bool:
+    def _has_candidate(self, model: str, service: str, tried: frozenset[str]) -> bool:
         return any(view.instance.name not in tried for view in self.candidates(model, service))
 
-    def _may_be_heard(self, model: str, service: str, tried: frozenset[str]) -> bool:
+    def _may_be_heard_again(self, model: str, service: str, tried: frozenset[str]) -> bool:
         now = asyncio.get_running_loop().time()
         return any(
             name not in tried
             and can_serve(view, model, service)
-            and now - view.seen_at <= BACK_WITHIN_SECONDS
+            and now - view.seen_at <= MAX_RECOVERABLE_SILENCE_SECONDS
             for name, view in self._views.items()
         )
 
-    async def ask(self, view: EndpointView, timeout: float) -> None:
-        """Has a sidecar say how it is now, also one that this entry does not watch.
+    async def fetch_status(self, view: EndpointView, timeout: float) -> None:
+        """Fetches a sidecar's status, even if this entry does not watch it.
 
         Raises:
-          CodedError: It did not answer; nothing was started.
+          CodedError: It did not respond or its status is invalid; nothing was started.
         """
         request = httpclient.HTTPRequest(view.url + "/internal/status", request_timeout=timeout)
         try:
             response = await http_client.fetch(self._client, request, "status")
-            view.hear(msgspec.json.decode(response.body, type=Status))
+            view.update_status(msgspec.json.decode(response.body, type=Status))
         except (CodedError, msgspec.MsgspecError) as error:
             raise CodedError("status_unread", str(error), 502) from error
 
     async def _poll(self, view: EndpointView) -> None:
         with contextlib.suppress(CodedError):
-            await self.ask(view, STATUS_TIMEOUT_SECONDS)
+            await self.fetch_status(view, STATUS_TIMEOUT_SECONDS)
 
 
 def can_serve(view: EndpointView, model: str, service: str) -> bool:
-    """Returns whether what an endpoint last said of itself lets it take a request."""
+    """Returns whether an endpoint can take a request, by the last status it reported."""
     status = view.status
     return (
         status is not None
@@ -236,5 +239,5 @@
     )
 
 
-def find_nobody(name: str) -> None:
-    """Stands where nothing is known of members beside the table."""
+def find_no_member(name: str) -> None:
+    """The default of find_member: no other members are known."""
--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Feeds the endpoint table from Watch streams to the endpoints that this entry works over."""
+"""Feeds the endpoint table from watch streams to the endpoints that this entry works with."""
 
 import asyncio
 import collections
@@ -20,14 +20,14 @@
 from .endpoint_table import STATUS_EXPIRES_SECONDS, EndpointTable
 
 TICK_SECONDS = 0.25
-CHOOSE_SECONDS = 0.5
+MIN_CHOOSE_INTERVAL_SECONDS = 0.5
 
 
 class EndpointWatcher:
-    """Chooses the subset again when members or the configuration change, and watches it."""
+    """Watches this entry's subset of endpoints, and updates it with members and configuration."""
 
     __slots__ = ("_settings", "_node", "_table", "_follower", "_log", "_links")
-    __slots__ += ("_chosen_for", "_chosen_at")
+    __slots__ += ("_chosen_for_state", "_chosen_at")
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         self._table = table
         self._follower = follower
         self._log = log
-        self._links = OutboundLinks(self, False, STATUS_EXPIRES_SECONDS, self._lose)
-        self._chosen_for: tuple[int, int] = (-1, -1)
+        self._links = OutboundLinks(self, False, STATUS_EXPIRES_SECONDS, self._record_loss)
+        self._chosen_for_state: tuple[int, int] = (-1, -1)
         self._chosen_at = float("-inf")
-        node.on_pause.append(self._forgive)
+        node.on_pause.append(self._exclude_pause)
         table.find_member = self._find_member
 
     def status(self) -> Status:
@@ -59,15 +59,18 @@
             self._log.write(Event.ENDPOINT_BACK, endpoint=link.name)
 
     async def run(self) -> None:
-        """Watches for ever."""
+        """Keeps the subset and its streams up to date until cancelled."""
         loop = asyncio.get_running_loop()
         try:
             while True:
                 now = loop.time()
                 self._links.end_silent(now)
                 state = (self._node.table.version, self._follower.revision)
-                if state != self._chosen_for and now - self._chosen_at >= CHOOSE_SECONDS:
-                    self._chosen_for = state
+                if (
+                    state != self._chosen_for_state
+                    and now - self._chosen_at >= MIN_CHOOSE_INTERVAL_SECONDS
+                ):
+                    self._chosen_for_state = state
                     self._chosen_at = now
                     self._choose(now)
                 await asyncio.sleep(TICK_SECONDS)
@@ -86,10 +89,10 @@
             unusable = {e.name for e in endpoints if e.name not in usable}
             picked = endpoint_subset.choose_subset(me, [*entries, me], endpoints, unusable, size)
             chosen |= {endpoint.name: endpoint for endpoint in picked}
-        self._table.take_list(tuple(chosen.values()))
+        self._table.update_instances(tuple(chosen.values()))
         self._links.keep([e for e in chosen.values() if e.peer_port], now)
 
-    def _lose(self, name: str, refused: bool) -> None:
+    def _record_loss(self, name: str, refused: bool) -> None:
         if self._table.record_loss(name, refused):
             self._log.write(Event.ENDPOINT_OUT, endpoint=name, refused=refused)
         self._node.lose(name, refused)
@@ -100,15 +103,16 @@
             return None
         return record.instance
 
-    def _forgive(self, seconds: float) -> None:
+    def _exclude_pause(self, seconds: float) -> None:
         self._links.forgive(seconds)
-        self._table.forgive(seconds)
+        self._table.exclude_pause(seconds)
 
 
 def group_endpoints(
     records: list[MemberRecord], current: FleetRevision | None
 ) -> dict[tuple[str, str], list[Instance]]:
-    """Returns the sidecars by the model and service that the files give to their slots."""
+    """Groups the sidecars by the model and service that the configuration assigns to them."""
+
     groups: dict[tuple[str, str], list[Instance]] = collections.defaultdict(list)
     specs = current.fleet.endpoints if current is not None else {}
     for record in records:
--- a/wasabidrum/entry/health_handler.py
+++ b/wasabidrum/entry/health_handler.py
@@ -1,16 +1,16 @@
-"""Tells the platform's balancer whether this entry takes requests."""
+"""The health check by which the platform's load balancer decides whether to send requests."""
 
 from .caller_handler import CallerHandler
 
 
 class HealthHandler(CallerHandler):
-    """GET /healthz: 200 where requests are taken, 503 before the start and while leaving."""
+    """Serves GET /healthz: 200 if ready, 503 without a configuration or while shutting down."""
 
     def prepare(self) -> None:
-        """Asks for no key."""
+        """Skips authentication: the health check needs no key."""
 
     def get(self) -> None:
-        """Answers in one word."""
+        """Responds with the readiness."""
         ready = self.entry.follower.current is not None and not self.entry.leaving
         self.set_status(200 if ready else 503)
         self.write("ready\n" if ready else "not ready\n")
--- a/wasabidrum/entry/key_handler.py
+++ b/wasabidrum/entry/key_handler.py
@@ -1,4 +1,4 @@
-"""POST /v1/idempotency-keys: issues a key before a caller makes a call."""
+"""POST /v1/idempotency-keys: issues an idempotency key that a caller sends with a later call."""
 
 import typing
 
@@ -9,35 +9,35 @@
 from ..observe.event import Event
 from ..wire import headers
 from .caller_handler import CallerHandler
-from .key_issuer import CALLER_KEY_SECONDS
+from .key_issuer import CALLER_KEY_LIFETIME_SECONDS
 
 
 class KeyBody(msgspec.Struct):
-    """The body: the service that is to be called, and for how long the key shall last."""
+    """The body: the service that will be called, and how long the key is to be valid."""
 
     service: str
     lifetime_seconds: typing.Annotated[float, msgspec.Meta(ge=1.0, le=LONGEST_LIFETIME_SECONDS)] = (
-        CALLER_KEY_SECONDS
+        CALLER_KEY_LIFETIME_SECONDS
     )
 
 
 class KeyHandler(CallerHandler):
-    """Issues keys for the services that a caller's workspace may call."""
+    """Issues idempotency keys for the services that the caller's workspace may call."""
 
     async def post(self) -> None:
-        """Answers with a new key."""
-        await self.run(self.answer)
+        """Handles one request."""
+        await self.run(self.respond)
 
-    async def answer(self) -> None:
-        """Checks the request and issues."""
+    async def respond(self) -> None:
+        """Validates the body and responds with a new key."""
         caller = self.caller
         try:
             body = msgspec.json.decode(self.body, type=KeyBody)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             raise CodedError("body_invalid", str(error), 400) from error
         if body.service not in caller.revision.fleet.workspaces[caller.workspace].services:
-            raise CodedError("service_unknown", "no such service", 404)
-        key = await self.entry.services.keys.issue_soon(
+            raise CodedError("service_unknown", "unknown service", 404)
+        key = await self.entry.services.keys.issue_when_heard(
             body.service, body.lifetime_seconds, caller.deadline
         )
         self.set_status(201)
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -1,4 +1,4 @@
-"""Issues idempotency keys, with no round trip and nothing to remember."""
+"""Issues idempotency keys without contacting a sidecar and without storing anything."""
 
 import random
 
@@ -8,38 +8,39 @@
 from ..decisions.keyed_key import KeyedKey, make_key
 from .endpoint_table import EndpointTable, EndpointView
 
-CALLER_KEY_SECONDS = 300.0
+CALLER_KEY_LIFETIME_SECONDS = 300.0
 SAMPLED_ENDPOINTS = 2
 
 
 class KeyIssuer:
-    """Issues keys in the time of the sidecar that each names."""
+    """Issues keys whose times are expressed in the uptime of the sidecar that each names."""
 
     __slots__ = ("_table", "_clocks", "_random")
 
     def __init__(self, table: EndpointTable) -> None:
         self._table = table
-        # By endpoint name, so that replaced incarnations do not pile up.
+        # Keyed by endpoint name, so that entries for replaced incarnations do not accumulate.
         self._clocks: dict[str, tuple[str, KeyedClock]] = {}
         self._random = random.Random()
 
-    def issue(self, service: str, lifetime: float = CALLER_KEY_SECONDS) -> KeyedKey:
-        """Returns a key for an endpoint of a service, one with little of our work.
+    def issue(self, service: str, lifetime: float = CALLER_KEY_LIFETIME_SECONDS) -> KeyedKey:
+        """Returns a key for an endpoint of a service, the less loaded of a few drawn at random.
 
         Raises:
           CodedError: No endpoint can take work now; outcome NOT_RUN.
         """
         candidates = self._table.candidates("", service)
         if not candidates:
-            raise CodedError("no_endpoint", "no endpoint can answer now", 503, retry_after=1.0)
+            raise CodedError("no_endpoint", "no endpoint can issue a key now", 503, retry_after=1.0)
         sampled = self._random.sample(candidates, min(SAMPLED_ENDPOINTS, len(candidates)))
         return self.issue_for(min(sampled, key=lambda view: view.in_progress), lifetime)
 
-    async def issue_soon(self, service: str, lifetime: float, deadline: float) -> KeyedKey:
-        """Returns a key as issue does, where all endpoints are silent once one is heard again.
+    async def issue_when_heard(self, service: str, lifetime: float, deadline: float) -> KeyedKey:
+        """Returns a key as issue does; if all endpoints are silent, waits until one is heard.
 
         Raises:
-          CodedError: None was by a deadline of the event loop's clock, or in time; as above.
+          CodedError: No endpoint can take work, or none was heard by the deadline, which is a
+            time of the event loop's clock; outcome NOT_RUN.
         """
         try:
             return self.issue(service, lifetime)
@@ -49,18 +50,18 @@
         return self.issue(service, lifetime)
 
     def issue_for(self, view: EndpointView, lifetime: float) -> KeyedKey:
-        """Returns a key that only the endpoint's present incarnation may run."""
+        """Returns a key that only the endpoint's current incarnation may execute."""
         uptime = self.uptime(view, view.status.incarnation)
         return make_key(view.instance.name, view.status.incarnation, uptime or 0.0, lifetime)
 
     def uptime(self, view: EndpointView, incarnation: str) -> float | None:
-        """Returns how long an incarnation has run at least, or None where it was not heard."""
+        """Returns a lower bound of an incarnation's uptime, or None if its status is unknown."""
         status = view.status
         if status is None or status.incarnation != incarnation:
             return None
         known = self._clocks.get(status.name)
         if known is None or known[0] != incarnation:
-            known = (incarnation, KeyedClock(status.uptime, view.told_at))
+            known = (incarnation, KeyedClock(status.uptime, view.status_arrived_at))
             self._clocks[status.name] = known
-        known[1].take(status.uptime, view.told_at)
+        known[1].take(status.uptime, view.status_arrived_at)
         return known[1].uptime(awake_seconds())
--- a/wasabidrum/entry/key_never_runs.py
+++ b/wasabidrum/entry/key_never_runs.py
@@ -1,4 +1,4 @@
-"""The one refusal that proves something of every copy of a call with a caller's key."""
+"""Refusals of calls with a caller's idempotency key, and what they prove about other copies."""
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
@@ -12,16 +12,17 @@
 
 
 def weaken_refusal(error: CodedError, key: str) -> CodedError:
-    """Returns what a refusal says of a call with a caller's key.
+    """Returns the refusal of a call with a caller's key, with an outcome that is certain.
 
-    An entry that refuses one copy knows nothing of the copies that the caller sent through
-    other entries. Without this a caller who resends to a full or leaving entry is told "not
-    run" of a charge that ran, and charges again.
+    An entry that refuses one copy of a call knows nothing of copies that the caller sent through
+    other entries. If it answered NOT_RUN, a caller who resends to an overloaded or leaving entry
+    would be told so of a charge that another entry has run, and would charge again. The outcome
+    becomes UNKNOWN, unless the refusal holds for every copy.
     """
     if error.outcome is not Outcome.NOT_RUN or isinstance(error, KeyNeverRunsError):
         return error
     if parse_key(key) is None:
-        # No entry ever takes such a text for a key, so no copy with it can have run.
+        # Every entry refuses a malformed key, so no copy with this one can have run.
         return error
     weaker = CodedError(error.code, str(error), error.http_status, Outcome.UNKNOWN)
     weaker.retry_after = error.retry_after
--- a/wasabidrum/entry/model_call.py
+++ b/wasabidrum/entry/model_call.py
@@ -1,4 +1,4 @@
-"""One request to a model: its stream goes on elsewhere when its endpoint dies or leaves."""
+"""Runs a model request; its stream is resumed elsewhere if the endpoint dies or leaves."""
 
 import asyncio
 import collections.abc
@@ -10,21 +10,21 @@
 from ..observe.event_log import EventLog
 from .caller_request import CallerRequest
 from .endpoint_table import EndpointTable
-from .generation_reader import Generation
 from .model_attempt import ModelAttempt
-from .no_place_alone import NoPlaceAloneError
-from .retry_rule import RetryRule
+from .no_exclusive_endpoint import NoExclusiveEndpointError
+from .retry_policy import RetryPolicy
+from .token_stream_reader import TokenBatch
 from .traffic import Traffic
 from .work_item import Priority, WorkItem
 
-# Most streams end by themselves in this time; a longer one is handed on, so that the
-# instance can stop long before its drain would run out.
-HAND_ON_AFTER_SECONDS = 3.0
-FINAL_CODES = frozenset(("attempt_invalid", "request_blocked"))
+# Most streams finish by themselves within this time. A longer one is moved to another endpoint,
+# so that the instance can stop long before its drain time is over.
+HANDOVER_DELAY_SECONDS = 3.0
+NON_RETRYABLE_CODES = frozenset(("attempt_invalid", "request_blocked"))
 
 
 class ModelCaller:
-    """Runs requests to models for the callers of one entry."""
+    """Runs model requests for the callers of one entry."""
 
     __slots__ = ("_client", "_traffic", "_table", "_log")
 
@@ -42,11 +42,11 @@
 
     async def generate(
         self, caller: CallerRequest, model: str, prompt: str, max_tokens: int
-    ) -> collections.abc.AsyncIterator[Generation]:
-        """Yields an answer as it comes; the last piece is marked finished.
+    ) -> collections.abc.AsyncIterator[TokenBatch]:
+        """Yields the answer in batches as they arrive; the last one is marked as finished.
 
         Raises:
-          CodedError: The answer will not become whole.
+          CodedError: The answer cannot be completed.
         """
         item = WorkItem(
             request_id=caller.request_id,
@@ -59,24 +59,24 @@
             max_tokens=max_tokens,
         )
         permit = await self._traffic.admit(item)
-        stream = ResumedStream(self._client, self._traffic, self._table, self._log, item)
+        stream = ResumableStream(self._client, self._traffic, self._table, self._log, item)
         try:
             while True:
-                generation = await stream.read()
-                if generation.tokens or generation.finished:
-                    yield generation
-                if generation.finished:
+                batch = await stream.read()
+                if batch.tokens or batch.finished:
+                    yield batch
+                if batch.finished:
                     return
         finally:
             stream.end()
             permit.release()
 
 
-class ResumedStream:
-    """One answer, read over as many attempts as it takes and the retry budget allows."""
+class ResumableStream:
+    """One answer, read over as many attempts as needed and as the retry budget allows."""
 
     __slots__ = ("_client", "_traffic", "_table", "_log", "_item", "_attempt", "_tried")
-    __slots__ += ("_version", "_next_token", "_hand_on_at", "_finished", "_retries")
+    __slots__ += ("_version", "_next_token", "_handover_at", "_finished", "_retries")
 
     def __init__(
         self,
@@ -91,38 +91,38 @@
         self._table = table
         self._log = log
         self._item = item
-        self._retries = RetryRule(traffic, item)
+        self._retries = RetryPolicy(traffic, item)
         self._attempt: ModelAttempt | None = None
         self._tried: frozenset[str] = frozenset()
         self._version = ""
         self._next_token = 0
-        self._hand_on_at: float | None = None
+        self._handover_at: float | None = None
         self._finished = False
 
-    async def read(self) -> Generation:
-        """Returns the next piece of the answer, from wherever it comes.
+    async def read(self) -> TokenBatch:
+        """Returns the next batch of the answer, from whichever endpoint serves it.
 
         Raises:
-          CodedError: The answer will not become whole.
+          CodedError: The answer cannot be completed.
         """
         while True:
             try:
                 if self._attempt is None:
                     await self._start()
-                generation = await self._attempt.read()
+                batch = await self._attempt.read()
             except CodedError as error:
                 await self._recover(error)
                 continue
-            if generation.tokens:
-                self._version = generation.version
-                self._next_token += len(generation.tokens)
-            self._finished = generation.finished
+            if batch.tokens:
+                self._version = batch.version
+                self._next_token += len(batch.tokens)
+            self._finished = batch.finished
             if not self._finished:
-                await self._hand_on_if_leaving()
-            return generation
+                await self._hand_over_if_leaving()
+            return batch
 
     def end(self) -> None:
-        """Ends whatever attempt is open; frees its slot where the answer is not whole."""
+        """Ends the open attempt, if any; an incomplete one is cancelled at the engine."""
         if self._attempt is not None:
             self._attempt.end("" if self._finished else "cancelled")
             self._attempt = None
@@ -131,21 +131,22 @@
         self._attempt = self._make_attempt(self._tried)
         await self._attempt.open()
 
-    async def _start_again(self) -> None:
-        """Starts an attempt after a failed one, in its turn where it must run alone."""
-        # An endpoint that dies with more streams than there are others leaves suspects without
-        # a place of their own. Their texts would end in an error half way, although endpoints
-        # have room; they wait until a suspect before them has ended instead.
+    async def _restart(self) -> None:
+        """Starts another attempt after a failed one, waiting if no endpoint can take it yet."""
+        # When an engine dies, every request that was in progress there becomes a suspect, and a
+        # suspect runs only at an endpoint without another suspect. If there are more suspects
+        # than endpoints, some find none although endpoints have room. They wait until another
+        # suspect has ended; otherwise their streams would end in an error half way.
         waited = False
         while True:
             try:
                 await self._start()
                 return
-            except NoPlaceAloneError:
+            except NoExclusiveEndpointError:
                 if not waited:
                     self._log_wait()
                 waited = True
-                if not await self._traffic.suspect_turns.wait(self._item.deadline):
+                if not await self._traffic.suspect_ends.wait(self._item.deadline):
                     raise
             except CodedError as error:
                 unplaced = self._attempt is None and error.code == "no_endpoint"
@@ -162,33 +163,35 @@
             reason="alone",
         )
 
-    def _make_attempt(self, left_out: frozenset[str]) -> ModelAttempt:
+    def _make_attempt(self, excluded: frozenset[str]) -> ModelAttempt:
         if self._next_token:
-            # The caller holds tokens of one version; another's would make an answer that no
-            # version ever gave.
-            left_out |= {
+            # The caller already has tokens of one version. Continuing with another version would
+            # produce an answer that neither version would have given.
+            excluded |= {
                 view.instance.name
                 for view in self._table.views
                 if view.status is None or view.status.version != self._version
             }
-        placement = self._traffic.place(self._item, left_out)
+        placement = self._traffic.place(self._item, excluded)
         return ModelAttempt(self._client, self._table, placement, self._version, self._next_token)
 
     async def _recover(self, error: CodedError) -> None:
-        """Prepares another attempt, or raises the error where there will be none."""
+        """Starts another attempt, or raises the error if there will be none."""
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             raise error
         name = attempt.placement.view.instance.name
         attempt.end(error.code)
-        pause = None if error.code in FINAL_CODES else self._retries.pause_before(error)
+        pause = (
+            None if error.code in NON_RETRYABLE_CODES else self._retries.delay_before_retry(error)
+        )
         if pause is None or asyncio.get_running_loop().time() + pause >= self._item.deadline:
             raise error
         await asyncio.sleep(pause)
         self._tried |= {name}
-        self._hand_on_at = None
+        self._handover_at = None
         try:
-            await self._start_again()
+            await self._restart()
         except CodedError as failure:
             if self._attempt is None:
                 raise error from failure
@@ -202,23 +205,23 @@
             token=self._next_token,
         )
 
-    async def _hand_on_if_leaving(self) -> None:
-        """Moves a long stream off an endpoint that is leaving, if another can go on with it."""
+    async def _hand_over_if_leaving(self) -> None:
+        """Moves a long stream away from a leaving endpoint if another endpoint can resume it."""
         if not self._attempt.leaving:
             return
         now = asyncio.get_running_loop().time()
-        if self._hand_on_at is None:
-            self._hand_on_at = now + HAND_ON_AFTER_SECONDS
-        if now < self._hand_on_at:
+        if self._handover_at is None:
+            self._handover_at = now + HANDOVER_DELAY_SECONDS
+        if now < self._handover_at:
             return
-        self._hand_on_at = now + HAND_ON_AFTER_SECONDS
+        self._handover_at = now + HANDOVER_DELAY_SECONDS
         leaving = self._attempt.placement.view.instance.name
         try:
             successor = self._make_attempt(self._tried | {leaving})
         except CodedError:
             return
-        # The old stream is dropped only once the new one has answered: a planned stop must
-        # not cut a stream that nobody else can go on with.
+        # The old stream is dropped only once the new one has started: a planned stop must not
+        # interrupt a stream that no other endpoint can resume.
         try:
             await successor.open()
         except BaseException as error:
@@ -228,7 +231,7 @@
             raise
         self._attempt.end("endpoint_leaving")
         self._attempt = successor
-        self._hand_on_at = None
+        self._handover_at = None
         self._log.write(
             Event.STREAM_HANDED_ON,
             request=self._item.request_id,
--- a/wasabidrum/entry/model_handler.py
+++ b/wasabidrum/entry/model_handler.py
@@ -1,4 +1,4 @@
-"""Answers completions, whole or as server-sent events."""
+"""Serves completions, as one response or as server-sent events."""
 
 import contextlib
 import time
@@ -14,7 +14,7 @@
 
 
 class ModelHandler(CallerHandler):
-    """POST /v1/completions."""
+    """Serves POST /v1/completions."""
 
     object_name = "text_completion"
 
@@ -22,93 +22,97 @@
     first_token_seconds = 0.0
 
     async def post(self) -> None:
-        """Runs one request."""
-        await self.run(self.answer)
+        """Handles one request."""
+        await self.run(self.respond)
 
-    def read_body(self) -> CompletionBody:
-        """Returns what the caller asks for."""
+    def decode_body(self) -> CompletionBody:
+        """Decodes the body."""
         return msgspec.json.decode(self.body, type=CompletionBody)
 
-    async def answer(self) -> None:
-        """Checks the body, generates, and answers."""
+    async def respond(self) -> None:
+        """Validates the body, generates the text and responds."""
         caller = self.caller
         try:
-            asked = self.read_body()
+            completion = self.decode_body()
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             raise CodedError("body_invalid", str(error), 400) from error
-        if asked.model not in caller.revision.fleet.workspaces[caller.workspace].models:
-            raise CodedError("model_unknown", "no such model", 404)
-        pieces = self.entry.models.generate(caller, asked.model, asked.prompt, asked.max_tokens)
-        timed = self.count_tokens(pieces)
-        # A caller that goes away leaves the answer half read. Closed here and not when the
-        # collector gets to it, the request's place is free for the next one at once.
-        async with contextlib.aclosing(pieces), contextlib.aclosing(timed):
-            if asked.stream:
-                whole = await self.answer_streaming(caller, asked.model, timed)
+        if completion.model not in caller.revision.fleet.workspaces[caller.workspace].models:
+            raise CodedError("model_unknown", "unknown model", 404)
+        batches = self.entry.models.generate(
+            caller, completion.model, completion.prompt, completion.max_tokens
+        )
+        counted = self.count_tokens(batches)
+        # When the caller disconnects, the generators are left half read. Closing them here, not
+        # when they are garbage-collected, frees the request's admission permit at once.
+        async with contextlib.aclosing(batches), contextlib.aclosing(counted):
+            if completion.stream:
+                complete = await self.respond_streaming(caller, completion.model, counted)
             else:
-                whole = await self.answer_whole(caller, asked.model, timed)
-        if whole:
+                complete = await self.respond_complete(caller, completion.model, counted)
+        if complete:
             first = round(self.first_token_seconds, 4)
-            self.note_done(model=asked.model, tokens=self.tokens, first_token=first)
+            self.log_completion(model=completion.model, tokens=self.tokens, first_token=first)
 
-    async def count_tokens(self, pieces: typing.AsyncIterator) -> typing.AsyncIterator:
-        """Passes an answer's pieces on, noting their tokens and when the first came."""
-        async for piece in pieces:
+    async def count_tokens(self, batches: typing.AsyncIterator) -> typing.AsyncIterator:
+        """Passes batches through, counting tokens and recording when the first arrived."""
+        async for batch in batches:
             if not self.tokens:
                 self.first_token_seconds = self.request.request_time()
-            self.tokens += len(piece.tokens)
-            yield piece
+            self.tokens += len(batch.tokens)
+            yield batch
 
-    async def answer_whole(
-        self, caller: CallerRequest, model: str, pieces: typing.AsyncIterator
+    async def respond_complete(
+        self, caller: CallerRequest, model: str, batches: typing.AsyncIterator
     ) -> bool:
-        """Answers once the last token is here."""
+        """Responds with one JSON document once the last token has arrived."""
         tokens: list[str] = []
         version = ""
-        async for piece in pieces:
-            tokens += piece.tokens
-            version = piece.version
+        async for batch in batches:
+            tokens += batch.tokens
+            version = batch.version
         self.set_header(headers.REQUEST_ID, caller.request_id)
         self.set_header(headers.MODEL_VERSION, version)
         usage = {"completion_tokens": len(tokens)}
-        choice = self.choice("".join(tokens), "stop", whole=True)
-        self.write(self.answer_head(caller, model, version) | {"choices": [choice], "usage": usage})
+        choice = self.choice("".join(tokens), "stop", complete=True)
+        self.write(
+            self.response_fields(caller, model, version) | {"choices": [choice], "usage": usage}
+        )
         return True
 
-    async def answer_streaming(
-        self, caller: CallerRequest, model: str, pieces: typing.AsyncIterator
+    async def respond_streaming(
+        self, caller: CallerRequest, model: str, batches: typing.AsyncIterator
     ) -> bool:
-        """Answers token by token; the end mark follows only a whole answer.
+        """Responds with one event per token; the end marker is sent only if all tokens were.
 
         Returns:
-          Whether the answer was whole. An error after the first token is told as the last
-          event, because the status has gone out by then.
+          Whether the response was complete. An error after the first token is sent as the last
+          event, because the status line has already been sent by then.
         """
         started = False
         try:
-            async for piece in pieces:
+            async for batch in batches:
                 if not started:
                     started = True
                     self.set_header("Content-Type", "text/event-stream")
                     self.set_header(headers.REQUEST_ID, caller.request_id)
-                    self.set_header(headers.MODEL_VERSION, piece.version)
-                    head = self.answer_head(caller, model, piece.version)
-                for token in piece.tokens:
-                    self.write_event(head | {"choices": [self.choice(token, None, whole=False)]})
-                if piece.finished:
-                    self.write_event(head | {"choices": [self.choice("", "stop", whole=False)]})
+                    self.set_header(headers.MODEL_VERSION, batch.version)
+                    head = self.response_fields(caller, model, batch.version)
+                for token in batch.tokens:
+                    self.write_event(head | {"choices": [self.choice(token, None, complete=False)]})
+                if batch.finished:
+                    self.write_event(head | {"choices": [self.choice("", "stop", complete=False)]})
                     self.write(b"data: [DONE]\n\n")
                 await self.flush()
         except CodedError as error:
             if not started:
                 raise
             self.write_event(self.error_body(error))
-            self.note_error(error)
+            self.log_error(error)
             return False
         return True
 
-    def answer_head(self, caller: CallerRequest, model: str, version: str) -> dict[str, object]:
-        """Returns the fields that every event and answer begins with."""
+    def response_fields(self, caller: CallerRequest, model: str, version: str) -> dict[str, object]:
+        """Returns the fields that all responses and events have in common."""
         return {
             "id": caller.request_id,
             "object": self.object_name,
@@ -117,8 +121,8 @@
             "version": version,
         }
 
-    def choice(self, text: str, reason: str | None, whole: bool) -> dict[str, object]:
-        """Returns the only choice of a completion."""
+    def choice(self, text: str, reason: str | None, complete: bool) -> dict[str, object]:
+        """Returns the single choice of a completion response or of one of its events."""
         return {"index": 0, "text": text, "finish_reason": reason}
 
     def write_event(self, event: dict[str, object]) -> None:
--- a/wasabidrum/entry/permit.py
+++ b/wasabidrum/entry/permit.py
@@ -1,4 +1,4 @@
-"""The right of one request to be worked on."""
+"""The admission permit of one request."""
 
 import typing
 
@@ -8,14 +8,14 @@
 
 
 class PermitOwner(typing.Protocol):
-    """Who gave a permit, and takes it back."""
+    """The issuer of a permit, which takes it back."""
 
     def release(self, pool: TargetPool, ticket: Ticket, item: WorkItem) -> None:
         """Ends a request's admission."""
 
 
 class Permit:
-    """The right to be worked on; given back once, whatever becomes of the request."""
+    """Permission to run one request; released exactly once, however the request ends."""
 
     __slots__ = ("_owner", "_pool", "_ticket", "_item", "_released")
 
@@ -29,7 +29,7 @@
         self._released = False
 
     def release(self) -> None:
-        """Gives the right back; a second call changes nothing."""
+        """Releases the permit; further calls have no effect."""
         if not self._released:
             self._released = True
             self._owner.release(self._pool, self._ticket, self._item)
--- a/wasabidrum/entry/placement.py
+++ b/wasabidrum/entry/placement.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint, from its choice to its end."""
+"""One attempt of a request at one endpoint, from the choice of the endpoint to the end."""
 
 import asyncio
 import typing
@@ -14,22 +14,22 @@
 
 
 class PlacementOwner(typing.Protocol):
-    """Whom an attempt tells how it goes."""
+    """Receives the events of an attempt."""
 
     def take_status(self, status: Status) -> None:
-        """Takes a status that came on an answer."""
+        """Records a status that a response carried."""
 
     def record_progress(self, placement: "Placement", tokens: int, now: float) -> None:
-        """Records tokens that arrived at one attempt."""
+        """Records that tokens of an attempt arrived."""
 
     def record_end(self, placement: "Placement", code: str, now: float) -> None:
-        """Records the end of one attempt."""
+        """Records the end of an attempt."""
 
 
 class Placement:
-    """Tells the decisions how an attempt goes. Exactly one call of ended ends it."""
+    """Reports the events of one attempt to its owner; ended must be called, and counts once."""
 
-    __slots__ = ("item", "view", "state", "began", "head_at", "progress_at", "tokens")
+    __slots__ = ("item", "view", "state", "started_at", "head_at", "progress_at", "tokens")
     __slots__ += ("suspect", "_owner", "_ended")
 
     def __init__(
@@ -44,7 +44,7 @@
         self.view = view
         self.state = state
         self.suspect = suspect
-        self.began = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         self.head_at: float | None = None
         self.progress_at: float | None = None
         self.tokens = 0
@@ -52,27 +52,27 @@
         self._ended = False
         view.in_progress += 1
 
-    def head_arrived(self, head: httputil.HTTPHeaders) -> None:
-        """Takes the status that came with the head of an answer."""
-        # A refusal has a head too. Taken for the head of an answer, a refused connection to a
-        # dead engine would count as a death that the request was there at.
+    def record_head(self, head: httputil.HTTPHeaders) -> None:
+        """Records the head of a response and the status that it carries."""
+        # A refusal has a head too. Counted as a started answer, a refused connection to a dead
+        # engine would make a poison suspect of a request that never ran there.
         if headers.ERROR_CODE not in head:
             self.head_at = asyncio.get_running_loop().time()
-        told = head.get(headers.STATUS_ON_ANSWER)
-        if told is None:
+        encoded_status = head.get(headers.STATUS_ON_ANSWER)
+        if encoded_status is None:
             return
         try:
-            self._owner.take_status(msgspec.json.decode(told, type=Status))
+            self._owner.take_status(msgspec.json.decode(encoded_status, type=Status))
         except msgspec.MsgspecError:
             return
 
     def progressed(self, tokens: int) -> None:
-        """Takes how many tokens arrived just now."""
+        """Records that tokens have just arrived."""
         if tokens > 0:
             self._owner.record_progress(self, tokens, asyncio.get_running_loop().time())
 
     def ended(self, code: str = "") -> None:
-        """Ends the attempt: with no code where the answer was whole, else with the error's."""
+        """Ends the attempt, with the error's code or with none if the answer was complete."""
         if not self._ended:
             self._ended = True
             self.view.in_progress -= 1
--- a/wasabidrum/entry/placement_test.py
+++ b/wasabidrum/entry/placement_test.py
@@ -1,4 +1,4 @@
-"""What an attempt tells the decisions."""
+"""Tests what an attempt reports about its course."""
 
 import unittest
 
@@ -8,19 +8,19 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """A refusal is no death, and an end counts once."""
+    """A refusal does not count as an endpoint's death, and an attempt's end counts once."""
 
     def place_and_end(self, head: dict[str, str], code: str) -> bool:
-        """Places a request, ends it, and returns whether it became a suspect."""
+        """Places a request and ends it; returns whether it became a poison suspect."""
 
-        async def play() -> bool:
+        async def run() -> bool:
             fleet = FakeFleet(engines=2)
             await fleet.start()
             traffic = fleet.traffics[0]
             item = WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "p", 5)
             permit = await traffic.admit(item)
             placement = traffic.place(item)
-            placement.head_arrived(head)
+            placement.record_head(head)
             placement.ended(code)
             placement.ended(code)
             permit.release()
@@ -29,17 +29,17 @@
             fleet.stop()
             return traffic._guard.is_suspect(item.fingerprint, 1001.0)
 
-        return run_with_paused_clock(play())
+        return run_with_paused_clock(run())
 
-    def test_a_refused_connection_to_a_dead_engine_is_no_death(self) -> None:
-        """An engine has died, and its sidecar refuses what still arrives. Counted as deaths,
-        these refusals would make a suspect of every request that was never run."""
+    def test_refused_connection_to_dead_engine_is_not_a_death(self) -> None:
+        """An engine has died, and its sidecar refuses new requests. Counted as deaths, these
+        refusals would make suspects of requests that were never run."""
         refused = {headers.ERROR_CODE: "peer_unreachable"}
         self.assertFalse(self.place_and_end(refused, "peer_unreachable"))
 
-    def test_an_answer_cut_after_its_head_makes_a_suspect(self) -> None:
-        """The engine dies in the middle of an answer. Unless the request is remembered, it
-        may be what kills the next engine too."""
+    def test_answer_cut_after_head_makes_a_suspect(self) -> None:
+        """An engine dies in the middle of an answer. The request must be remembered, since it may
+        crash the next engine too."""
         self.assertTrue(self.place_and_end({}, "answer_cut"))
 
 
--- a/wasabidrum/entry/refusals.py
+++ b/wasabidrum/entry/refusals.py
@@ -1,4 +1,4 @@
-"""The errors that tell callers why the decisions refuse them."""
+"""Converts refusals of the decisions package into errors for callers."""
 
 from ..core.errors import CodedError
 from ..decisions import poison
@@ -6,15 +6,15 @@
 
 
 def refusal_error(refusal: Refusal) -> CodedError:
-    """Returns what a caller is told that is refused."""
+    """Returns the error for a refused request."""
     return CodedError(refusal.code, refusal.reason, 503, retry_after=refusal.retry_after)
 
 
 def blocked_error() -> CodedError:
-    """Returns what the caller of a request is told that crashes endpoints."""
+    """Returns the error for a request that is blocked because it seems to crash endpoints."""
     return CodedError(
         "request_blocked",
-        "this request was in progress at two endpoints that died",
+        "this request was in progress during two endpoint crashes",
         422,
         retry_after=poison.BLOCK_SECONDS,
     )
--- a/wasabidrum/entry/request_costs.py
+++ b/wasabidrum/entry/request_costs.py
@@ -1,4 +1,4 @@
-"""What requests cost, and what of it their workspaces may still spend."""
+"""Estimates the cost of requests and enforces the token limits of workspaces."""
 
 import collections.abc
 import random
@@ -12,11 +12,11 @@
 from ..peers.configuration_follower import ConfigurationFollower
 from .work_item import WorkItem
 
-SHORTEST_RETRY_SECONDS = 1.0
+MIN_RETRY_AFTER_SECONDS = 1.0
 
 
 class RequestCosts:
-    """Estimates what requests cost, and holds workspaces to the limits in the files."""
+    """Estimates what requests cost and enforces the configured limits of workspaces."""
 
     __slots__ = ("_follower", "_count_entries", "_rng", "_expected", "_allowance")
 
@@ -26,7 +26,7 @@
         count_entries: collections.abc.Callable[[], int],
         rng: random.Random,
     ) -> None:
-        """Takes what counts the entries that share a workspace's limit."""
+        """Creates it; count_entries returns how many entries share each workspace's limit."""
         self._follower = follower
         self._count_entries = count_entries
         self._rng = rng
@@ -34,7 +34,7 @@
         self._allowance = TokenAllowance()
 
     def make_ticket(self, item: WorkItem) -> Ticket:
-        """Returns what a request waits in line with: its expected cost and its share."""
+        """Returns the admission ticket of a request, with its expected cost and its share."""
         cost = 1.0
         if item.model:
             cost = self._expected.estimate(item.workspace, item.model, item.max_tokens)
@@ -45,10 +45,10 @@
         )
 
     def charge(self, item: WorkItem, ticket: Ticket, now: float) -> None:
-        """Takes a request's expected cost from its workspace's limit.
+        """Deducts a request's expected cost from its workspace's allowance.
 
         Raises:
-          CodedError: The workspace has used up its limit; nothing was started.
+          CodedError: The workspace has used up its allowance; nothing was started.
         """
         spec = self._workspace(item)
         if not item.model or spec is None or spec.tokens_per_second <= 0.0:
@@ -57,30 +57,30 @@
         seconds = self._allowance.take(item.workspace, per_second, ticket.cost, now)
         if seconds is None:
             return
-        retry = backoff.spread(max(seconds, SHORTEST_RETRY_SECONDS), self._rng)
+        retry = backoff.spread(max(seconds, MIN_RETRY_AFTER_SECONDS), self._rng)
         raise CodedError(
-            "workspace_limit", "this workspace is at its limit", 429, retry_after=retry
+            "workspace_limit", "this workspace has reached its limit", 429, retry_after=retry
         )
 
     def refund(self, item: WorkItem, ticket: Ticket) -> None:
-        """Gives back what charge took for a request that was not let in."""
+        """Returns the cost that charge deducted for a request that was not admitted."""
         self._allowance.correct(item.workspace, ticket.cost, 0.0)
 
     def settle(self, item: WorkItem, ticket: Ticket) -> float | None:
-        """Replaces the expected cost of a request that ended by the real one.
+        """Replaces the expected cost of an ended request by the actual cost.
 
         Returns:
-          The real cost, or None where the answer was not whole: a part of it would pass for a
-          cheap request.
+          The actual cost, or None if the answer was not complete: counted by its part, such a
+          request would look cheap.
         """
         if item.model:
-            if item.whole:
-                self._expected.learn(item.workspace, item.model, item.tokens_done)
-            # A request may end early or in an error; what it generated is charged all the same.
-            self._allowance.correct(item.workspace, ticket.cost, float(item.tokens_done))
-        if not item.whole:
+            if item.completed:
+                self._expected.learn(item.workspace, item.model, item.tokens_received)
+            # A request may end early or in an error; the tokens it generated are charged anyway.
+            self._allowance.correct(item.workspace, ticket.cost, float(item.tokens_received))
+        if not item.completed:
             return None
-        return float(item.tokens_done) if item.model else 1.0
+        return float(item.tokens_received) if item.model else 1.0
 
     def _workspace(self, item: WorkItem) -> WorkspaceSpec | None:
         current = self._follower.current if self._follower else None
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: each non-idempotent one runs at most once, whoever repeats it."""
+"""Calls to plain services. A non-idempotent call runs at most once, however often it is resent."""
 
 import asyncio
 import contextlib
@@ -18,25 +18,26 @@
 from .key_issuer import KeyIssuer
 from .key_never_runs import KeyNeverRunsError, weaken_refusal
 from .placement import Placement
-from .retry_rule import RetryRule
-from .service_exchange import NotToldError, ServiceExchange
-from .service_order import ServiceOrder
+from .retry_policy import RetryPolicy
+from .service_exchange import NoVerifiedAnswerError, ServiceExchange
+from .service_request import ServiceRequest
 from .traffic import Traffic
 from .work_item import Priority, WorkItem
 
-# Pauses before a call is sent again to the sidecar that alone may run it. Together they
-# outlast a connection reset or a short stall; a longer outage is the caller's to wait for.
-ASK_AGAIN_PAUSES_SECONDS = (0.05, 0.15, 0.4, 0.8)
-# How long one copy waits in silence before another one joins it; doubled each time.
-FIRST_PATIENCE_SECONDS = 3.0
-# How much longer than its caller's deadline a key of our own is remembered, so that the
-# caller who was told "unknown" can learn the result.
-MINTED_KEY_EXTRA_SECONDS = 60.0
-SHORTEST_READ_PATIENCE_SECONDS = 0.5
+# Delays before a call is resent to the only sidecar that may run it. Their sum outlasts a
+# connection reset or a short stall; after a longer outage the caller has to resend.
+RESEND_DELAYS_SECONDS = (0.05, 0.15, 0.4, 0.8)
+# How long the first copy of a call may take before another copy is sent;
+# doubled for each further copy that gets no answer in time.
+FIRST_COPY_TIMEOUT_SECONDS = 3.0
+# How much longer than the caller's deadline a key issued for a call without one is remembered, so
+# that a caller who was told "unknown" can still learn the result.
+OWN_KEY_EXTRA_SECONDS = 60.0
+MIN_READ_TIMEOUT_SECONDS = 0.5
 
 
 def find_call(fleet: Fleet, service: str, method: str, path: str) -> ServiceCall:
-    """Returns what the files say of a call; one that they do not list is not idempotent."""
+    """Returns the configuration of a call; one that is not configured is not idempotent."""
     spec = fleet.services.get(service)
     plain_path = path.partition("?")[0]
     for call in spec.calls if spec else ():
@@ -63,77 +64,84 @@
         self._log = log
         self.keys = KeyIssuer(table)
 
-    async def call(self, caller: CallerRequest, order: ServiceOrder) -> ServiceReply:
+    async def call(self, caller: CallerRequest, request: ServiceRequest) -> ServiceReply:
         """Makes one call.
 
         Raises:
-          CodedError: No whole answer came; the outcome says what that means.
+          CodedError: No complete answer arrived; the outcome says whether the call may have run.
         """
-        listed = find_call(caller.revision.fleet, order.service, order.method, order.path)
+        call_spec = find_call(caller.revision.fleet, request.service, request.method, request.path)
         item = WorkItem(
             request_id=caller.request_id,
             workspace=caller.workspace,
-            priority=Priority.READ if listed.priority == "read" else Priority.CHARGE,
+            priority=Priority.READ if call_spec.priority == "read" else Priority.CHARGE,
             deadline=caller.deadline,
-            idempotent=listed.idempotent,
-            service=order.service,
+            idempotent=call_spec.idempotent,
+            service=request.service,
             awake_deadline=caller.awake_deadline,
         )
-        if order.key and not listed.idempotent:
-            return await self._call_with_key(caller, item, order)
+        if request.key and not call_spec.idempotent:
+            return await self._call_with_key(caller, item, request)
         permit = await self._traffic.admit(item)
         try:
-            return await self._call_anywhere(item, order)
+            return await self._call_anywhere(item, request)
         finally:
             permit.release()
 
     async def _call_with_key(
-        self, caller: CallerRequest, item: WorkItem, order: ServiceOrder
+        self, caller: CallerRequest, item: WorkItem, request: ServiceRequest
     ) -> ServiceReply:
-        """Makes a call with a caller's key, of which other copies may be anywhere."""
-        key = self._check_key(caller, order)
+        """Makes a call with the caller's key; other copies of it may exist at any entry."""
+        key = self._check_key(caller, request)
         permit = None
         try:
             permit = await self._traffic.admit(item)
         except CodedError as error:
-            # With no endpoint for new work the owner may still tell of the work it has.
+            # The endpoint that the key names can report on calls that it knows, even if no
+            # endpoint accepts new work.
             if error.code != "no_endpoint":
-                raise weaken_refusal(error, order.key) from error
+                raise weaken_refusal(error, request.key) from error
         try:
-            return await self._call_owner(item, order, key)
+            return await self._call_owner(item, request, key)
         finally:
             if permit is not None:
                 permit.release()
 
-    def _check_key(self, caller: CallerRequest, order: ServiceOrder) -> KeyedKey:
-        """Returns a caller's key.
+    def _check_key(self, caller: CallerRequest, request: ServiceRequest) -> KeyedKey:
+        """Validates a caller's key and returns it parsed.
 
         Raises:
-          CodedError: No entry takes this key for this service, so it was not run with it.
+          CodedError: The key was not issued by an entry, so no copy of the call has run; or its
+            endpoint belongs to another service now, and the outcome is unknown.
         """
-        key = parse_key(order.key)
+        key = parse_key(request.key)
         if key is None:
-            # Nobody can prove whether another entry took a key of the caller's own making
-            # to another endpoint, so no entry takes one.
-            message = "send a key that was issued here"
-            raise self._with_new_key(KeyNeverRunsError("key_not_issued", message, 400), order)
+            # Entries accept only keys that they issued. Nobody could prove whether another
+            # entry had sent a call with a key of the caller's own making to another endpoint.
+            message = "the key was not issued here; request one first"
+            raise self._attach_new_key(KeyNeverRunsError("key_not_issued", message, 400), request)
         endpoint = caller.revision.fleet.endpoints.get(key.endpoint)
-        if endpoint is not None and endpoint.service != order.service:
-            raise CodedError("key_for_another_service", "not a key for this", 422, Outcome.UNKNOWN)
+        if endpoint is not None and endpoint.service != request.service:
+            raise CodedError(
+                "key_for_another_service",
+                "the key's endpoint belongs to another service",
+                422,
+                Outcome.UNKNOWN,
+            )
         return key
 
-    def _with_new_key(self, error: CodedError, order: ServiceOrder) -> CodedError:
+    def _attach_new_key(self, error: CodedError, request: ServiceRequest) -> CodedError:
         with contextlib.suppress(CodedError):
-            error.idempotency_key = str(self.keys.issue(order.service))
+            error.idempotency_key = str(self.keys.issue(request.service))
         return error
 
-    async def _call_anywhere(self, item: WorkItem, order: ServiceOrder) -> ServiceReply:
-        """Makes a call that came without a key, and elsewhere where that is safe.
+    async def _call_anywhere(self, item: WorkItem, request: ServiceRequest) -> ServiceReply:
+        """Makes a call that came without a key, with retries at other endpoints where safe.
 
-        An idempotent call may be made again after any failure, any other only where it
-        provably did not run.
+        An idempotent call is retried after any failure, any other call only if it provably did
+        not run.
         """
-        retries = RetryRule(self._traffic, item)
+        retries = RetryPolicy(self._traffic, item)
         tried: frozenset[str] = frozenset()
         failure: CodedError | None = None
         while True:
@@ -142,13 +150,13 @@
             except CodedError as error:
                 raise failure or error from error
             try:
-                with ending(placement):
-                    return await self._attempt(placement, order)
+                with ending_placement(placement):
+                    return await self._attempt(placement, request)
             except CodedError as error:
                 failure = error
             if not item.idempotent and failure.outcome is not Outcome.NOT_RUN:
                 raise failure
-            await self._pause(retries, item, failure)
+            await self._wait_before_retry(retries, item, failure)
             tried |= {placement.view.instance.name}
             self._log.write(Event.CALL_PLACED_AGAIN, request=item.request_id, code=failure.code)
 
@@ -162,127 +170,134 @@
                 raise
         return self._traffic.place(item, tried)
 
-    async def _attempt(self, placement: Placement, order: ServiceOrder) -> ServiceReply:
+    async def _attempt(self, placement: Placement, request: ServiceRequest) -> ServiceReply:
         item = placement.item
         remaining = self._remaining(item)
         if item.idempotent:
-            exchange = self._exchange(placement.view, item, order, None, placement)
-            # Half of what is left: a stalled endpoint must not use up the time of the next.
-            patience = max(min(SHORTEST_READ_PATIENCE_SECONDS, remaining), remaining / 2)
-            return await exchange.send(remaining, patience, None)
-        key = self.keys.issue_for(placement.view, remaining + MINTED_KEY_EXTRA_SECONDS)
-        exchange = self._exchange(placement.view, item, order, key, placement)
-        return await self._settle(exchange, item, others_sent=False)
-
-    async def _pause(self, retries: RetryRule, item: WorkItem, failure: CodedError) -> None:
-        """Waits before another attempt, or raises the failure where there will be none."""
-        pause = retries.pause_before(failure)
+            exchange = self._exchange(placement.view, item, request, None, placement)
+            # Half of the remaining time, so that a stalled endpoint leaves time for a retry.
+            timeout = max(min(MIN_READ_TIMEOUT_SECONDS, remaining), remaining / 2)
+            return await exchange.send(remaining, timeout, None)
+        key = self.keys.issue_for(placement.view, remaining + OWN_KEY_EXTRA_SECONDS)
+        exchange = self._exchange(placement.view, item, request, key, placement)
+        return await self._resolve(exchange, item, others_may_have_sent=False)
+
+    async def _wait_before_retry(
+        self, retries: RetryPolicy, item: WorkItem, failure: CodedError
+    ) -> None:
+        """Waits before the next attempt, or raises the failure if there will be none."""
+        pause = retries.delay_before_retry(failure)
         if pause is None or pause >= self._remaining(item):
             raise failure
         await asyncio.sleep(pause)
 
-    async def _call_owner(self, item: WorkItem, order: ServiceOrder, key: KeyedKey) -> ServiceReply:
-        """Makes a call with a caller's key, which one incarnation alone may run."""
+    async def _call_owner(
+        self, item: WorkItem, request: ServiceRequest, key: KeyedKey
+    ) -> ServiceReply:
+        """Makes a call with the caller's key, which only one sidecar incarnation may run."""
         view = self._find_owner(key)
         if view is None:
-            raise self._unknown("key_owner_not_listed", "its endpoint is not listed", key)
+            raise self._unknown_outcome(
+                "key_owner_not_listed", "the endpoint that the key names is unknown", key
+            )
         others = {known.instance.name for known in self._table.views} - {key.endpoint}
         placement: Placement | None = None
-        # A leaving or full owner takes no new work but still tells of the old, so that it
-        # cannot be placed on is no reason not to ask it.
+        # A leaving or full endpoint takes no new work but still reports on earlier calls, so it
+        # is asked even if the call cannot be placed there.
         with contextlib.suppress(CodedError):
             placement = self._traffic.place(item, frozenset(others))
-        exchange = self._exchange(view, item, order, key, placement)
+        exchange = self._exchange(view, item, request, key, placement)
         try:
-            with ending(placement):
-                return await self._settle(exchange, item, others_sent=True)
+            with ending_placement(placement):
+                return await self._resolve(exchange, item, others_may_have_sent=True)
         except CodedError as error:
             if error.outcome is not Outcome.NOT_RUN:
                 raise
-            proved = KeyNeverRunsError(error.code, str(error), error.http_status)
-            raise self._with_new_key(proved, order) from error
+            never_runs = KeyNeverRunsError(error.code, str(error), error.http_status)
+            raise self._attach_new_key(never_runs, request) from error
 
-    async def _settle(
-        self, exchange: ServiceExchange, item: WorkItem, others_sent: bool
+    async def _resolve(
+        self, exchange: ServiceExchange, item: WorkItem, others_may_have_sent: bool
     ) -> ServiceReply:
-        """Sends a call to the one sidecar that may run it until that tells the outcome.
+        """Sends a call to the only sidecar that may run it until the outcome is known.
 
-        Sending it again is safe: the sidecar joins or replays a copy that it has, and runs
-        the call only where none came before.
+        Resending is safe: the sidecar joins a running copy or replays its answer, and runs the
+        call only if no copy came before.
 
         Args:
-          others_sent: Whether copies of this call may have been sent by others.
+          others_may_have_sent: Whether other entries may have sent copies of this call.
 
         Raises:
-          CodedError: The outcome, NOT_RUN only where it is proved.
+          CodedError: The outcome, which is NOT_RUN only if that is proved.
         """
         key = exchange.key
-        may_have_arrived = others_sent
-        pauses = iter(ASK_AGAIN_PAUSES_SECONDS)
-        patience = FIRST_PATIENCE_SECONDS
+        may_have_arrived = others_may_have_sent
+        pauses = iter(RESEND_DELAYS_SECONDS)
+        timeout = FIRST_COPY_TIMEOUT_SECONDS
         while True:
             remaining = self._remaining(item)
             if remaining <= 0:
-                raise self._unknown("deadline_passed", "no answer in time", key)
-            waited = min(patience, remaining)
+                raise self._unknown_outcome("deadline_passed", "no answer by the deadline", key)
+            copy_timeout = min(timeout, remaining)
             try:
-                await self._learn_uptime(exchange, waited)
-                return await self._send(exchange, item, waited)
-            except NotToldError as error:
+                await self._learn_uptime(exchange, copy_timeout)
+                return await self._send(exchange, item, copy_timeout)
+            except NoVerifiedAnswerError as error:
                 failure = error
             except CodedError as error:
                 if error.code == "call_corrupt":
                     failure = error
                 else:
-                    raise self._with_old_key(error, key) from error
+                    raise self._attach_key(error, key) from error
             if failure.outcome is Outcome.NOT_RUN and not may_have_arrived:
                 raise failure
             may_have_arrived |= failure.outcome is not Outcome.NOT_RUN
-            if remaining - self._remaining(item) >= waited * 0.9:
-                patience *= 2
+            if remaining - self._remaining(item) >= copy_timeout * 0.9:
+                timeout *= 2
                 continue
             pause = next(pauses, None)
             if pause is None or self._is_replaced(exchange):
-                raise self._unknown("key_owner_unreachable", str(failure), key)
+                raise self._unknown_outcome("key_owner_unreachable", str(failure), key)
             self._log.write(Event.CALL_ASKED_AGAIN, request=item.request_id, code=failure.code)
             await asyncio.sleep(min(pause, max(0.0, self._remaining(item))))
 
-    async def _learn_uptime(self, exchange: ServiceExchange, patience: float) -> None:
-        """Asks the one sidecar how long it has run, where this entry has not heard it.
+    async def _learn_uptime(self, exchange: ServiceExchange, timeout: float) -> None:
+        """Fetches the sidecar's status if this entry does not know its uptime.
 
         Raises:
-          NotToldError: It did not answer; no copy was sent.
+          NoVerifiedAnswerError: It did not respond; no copy was sent.
         """
-        # An entry that has just started, or that watches other endpoints, cannot tell the
-        # deadline in the sidecar's time. Counted from when a paused sidecar reads it, it would
-        # let the charge start long after its caller was told "unknown".
+        # An entry that has just started, or that watches other endpoints, cannot express the
+        # deadline in the sidecar's uptime. If the sidecar counted the remaining time from when it
+        # reads the call, a paused one could start the charge long after its caller was told
+        # "unknown".
         status = exchange.view.status
         if status is not None and status.incarnation >= exchange.key.incarnation:
             return
         try:
-            await self._table.ask(exchange.view, patience)
+            await self._table.fetch_status(exchange.view, timeout)
         except CodedError as error:
-            raise NotToldError(error.code, str(error), error.http_status) from error
+            raise NoVerifiedAnswerError(error.code, str(error), error.http_status) from error
 
     async def _send(
-        self, exchange: ServiceExchange, item: WorkItem, patience: float
+        self, exchange: ServiceExchange, item: WorkItem, timeout: float
     ) -> ServiceReply:
-        """Sends one copy with its deadline in the sidecar's time."""
+        """Sends one copy, with the deadline expressed in the sidecar's uptime."""
         remaining = self._remaining(item)
         uptime = self.keys.uptime(exchange.view, exchange.key.incarnation)
         start_before = None if uptime is None else uptime + remaining
-        return await exchange.send(remaining, patience, start_before)
+        return await exchange.send(remaining, timeout, start_before)
 
     def _exchange(
         self,
         view: EndpointView,
         item: WorkItem,
-        order: ServiceOrder,
+        request: ServiceRequest,
         key: KeyedKey | None,
         placement: Placement | None,
     ) -> ServiceExchange:
         names = (item.workspace, item.request_id)
-        return ServiceExchange(self._client, view, order, *names, key, placement)
+        return ServiceExchange(self._client, view, request, *names, key, placement)
 
     def _find_owner(self, key: KeyedKey) -> EndpointView | None:
         return self._table.find(key.endpoint)
@@ -294,23 +309,24 @@
         return view.status.incarnation > exchange.key.incarnation
 
     def _remaining(self, item: WorkItem) -> float:
-        # By the event loop's clock the caller of a charge that was read before a suspension
-        # would still wait after it, and the charge would run for nobody.
+        # The event loop's clock stops while the instance is suspended. By it, the caller of a
+        # charge that was read before a suspension would still seem to wait afterwards, and the
+        # charge would run although its caller has gone.
         return item.awake_deadline - awake_seconds()
 
-    def _unknown(self, code: str, message: str, key: KeyedKey) -> CodedError:
+    def _unknown_outcome(self, code: str, message: str, key: KeyedKey) -> CodedError:
         error = CodedError(code, message, 504, Outcome.UNKNOWN, retry_after=1.0)
-        return self._with_old_key(error, key)
+        return self._attach_key(error, key)
 
-    def _with_old_key(self, error: CodedError, key: KeyedKey) -> CodedError:
+    def _attach_key(self, error: CodedError, key: KeyedKey) -> CodedError:
         if error.outcome is Outcome.UNKNOWN:
             error.idempotency_key = str(key)
         return error
 
 
 @contextlib.contextmanager
-def ending(placement: Placement | None):
-    """Ends a placement with the code of whatever ended its block."""
+def ending_placement(placement: Placement | None):
+    """Ends a placement with the code of the error that left the block, if any."""
     code = "cancelled"
     try:
         yield
--- a/wasabidrum/entry/service_exchange.py
+++ b/wasabidrum/entry/service_exchange.py
@@ -1,4 +1,4 @@
-"""One copy of a call on its way to a sidecar and back, and what its end proves."""
+"""Sends one copy of a service call to a sidecar and verifies the answer."""
 
 import dataclasses
 import secrets
@@ -13,13 +13,13 @@
 from ..wire import headers, http_client
 from .endpoint_table import EndpointView
 from .placement import Placement
-from .service_order import ServiceOrder
+from .service_request import ServiceRequest
 
 
-class NotToldError(CodedError):
-    """A copy ended without a word of the sidecar that can be trusted.
+class NoVerifiedAnswerError(CodedError):
+    """A copy ended without an answer that is provably the sidecar's.
 
-    The outcome is NOT_RUN where this copy was never sent, which says nothing of others.
+    The outcome is NOT_RUN if this copy was never sent, which says nothing about other copies.
     """
 
     __slots__ = ()
@@ -27,84 +27,96 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceExchange:
-    """What every copy of one call to one endpoint has in common."""
+    """What all copies of one call to one endpoint have in common."""
 
     client: httpclient.AsyncHTTPClient
     view: EndpointView
-    order: ServiceOrder
+    service_request: ServiceRequest
     workspace: str
     request_id: str
     key: KeyedKey | None
     placement: Placement | None
 
     async def send(
-        self, remaining: float, patience: float, start_before: float | None
+        self, remaining: float, timeout: float, start_before: float | None
     ) -> ServiceReply:
-        """Sends one copy and returns the whole answer.
+        """Sends one copy and returns the complete answer.
 
         Args:
           remaining: Seconds until the caller stops waiting.
-          patience: Seconds after which this copy is given up.
-          start_before: The sidecar's uptime at the caller's deadline. Without it a call that
-            the sidecar has not seen never starts.
+          timeout: Seconds after which this copy is abandoned.
+          start_before: The sidecar's uptime at the caller's deadline. Without it the sidecar
+            starts no call with a key; it only reports on copies that it already has.
 
         Raises:
-          NotToldError: The copy was not sent, or was lost, or its answer was.
-          CodedError: The sidecar told the outcome, which is proved.
+          NoVerifiedAnswerError: The copy was not sent, or it or its answer was lost.
+          CodedError: The sidecar reported the outcome, which is certain.
         """
         attempt_id = f"{self.request_id}.{secrets.token_hex(6)}"
         request = httpclient.HTTPRequest(
             self.view.url + "/internal/service",
             method="POST",
-            body=self.order.body,
+            body=self.service_request.body,
             headers=self._headers(attempt_id, remaining, start_before),
-            request_timeout=max(0.001, patience),
+            request_timeout=max(0.001, timeout),
         )
         try:
             response = await http_client.fetch(self.client, request, self.view.instance.name)
         except CodedError as error:
-            raise NotToldError(error.code, str(error), error.http_status, error.outcome) from error
-        # Also from a refusal: an endpoint that refuses as it leaves says so in its status.
+            raise NoVerifiedAnswerError(
+                error.code, str(error), error.http_status, error.outcome
+            ) from error
+        # Recorded for refusals as well: an endpoint that refuses because it is leaving says so
+        # in the status that its response carries.
         if self.placement is not None:
-            self.placement.head_arrived(response.headers)
-        return self._judge(attempt_id, response)
+            self.placement.record_head(response.headers)
+        return self._verify(attempt_id, response)
 
     def _headers(
         self, attempt_id: str, remaining: float, start_before: float | None
     ) -> dict[str, str]:
-        order = self.order
+        request = self.service_request
         key = str(self.key) if self.key else ""
-        call = (self.workspace, key, order.method, order.path, order.content_type, order.body)
-        given = {
-            "Content-Type": order.content_type,
-            headers.FORWARDED_METHOD: order.method,
-            headers.FORWARDED_PATH: order.path,
+        call = (
+            self.workspace,
+            key,
+            request.method,
+            request.path,
+            request.content_type,
+            request.body,
+        )
+        fields = {
+            "Content-Type": request.content_type,
+            headers.FORWARDED_METHOD: request.method,
+            headers.FORWARDED_PATH: request.path,
             headers.DEADLINE_MILLISECONDS: str(max(1, int(remaining * 1000))),
             headers.ATTEMPT_ID: attempt_id,
             headers.WORKSPACE: self.workspace,
             headers.CALL_DIGEST: digest_call(*call).hex(),
         }
         if self.key is None:
-            given[headers.IDEMPOTENT] = "1"
+            fields[headers.IDEMPOTENT] = "1"
         else:
-            given[headers.CALL_KEY] = key
+            fields[headers.CALL_KEY] = key
         if start_before is not None:
-            given[headers.START_BEFORE] = f"{start_before:.3f}"
-        return given
+            fields[headers.START_BEFORE] = f"{start_before:.3f}"
+        return fields
 
-    def _judge(self, attempt_id: str, response: httpclient.HTTPResponse) -> ServiceReply:
-        told = response.headers
-        content_type = told.get("Content-Type", "")
-        outcome = told.get(headers.OUTCOME, "")
-        code = told.get(headers.ERROR_CODE, "")
+    def _verify(self, attempt_id: str, response: httpclient.HTTPResponse) -> ServiceReply:
+        head = response.headers
+        content_type = head.get("Content-Type", "")
+        outcome = head.get(headers.OUTCOME, "")
+        code = head.get(headers.ERROR_CODE, "")
         body = response.body or b""
         digest = digest_answer(attempt_id, response.code, content_type, outcome, code, body)
-        # An answer of another attempt, or one that a link changed, proves nothing. Believing
-        # its "not run" would lead to a second run elsewhere.
-        if told.get(headers.ANSWER_DIGEST) != digest.hex():
-            raise NotToldError("answer_crossed", "not this attempt's", 502, Outcome.UNKNOWN)
+        # An answer to another attempt, or one corrupted on the way, proves nothing. If its
+        # "not run" were believed, the call could run a second time elsewhere.
+        if head.get(headers.ANSWER_DIGEST) != digest.hex():
+            raise NoVerifiedAnswerError(
+                "answer_crossed", "the answer does not match this attempt", 502, Outcome.UNKNOWN
+            )
         if code:
             message = body.decode(errors="replace")
             raise CodedError(code, message, response.code, Outcome(outcome), retry_after=1.0)
-        replayed = headers.IDEMPOTENT_REPLAYED in told
+        replayed = headers.IDEMPOTENT_REPLAYED in head
         return ServiceReply(response.code, content_type, body, replayed)
--- a/wasabidrum/entry/service_exchange_test.py
+++ b/wasabidrum/entry/service_exchange_test.py
@@ -1,4 +1,4 @@
-"""Tests of how an entry judges a sidecar's answer: only a sealed one proves anything."""
+"""Tests how an entry verifies a sidecar's answer: only a matching digest proves anything."""
 
 import io
 import unittest
@@ -12,8 +12,8 @@
 from ..core.outcome import Outcome
 from ..outcomes.call_digest import digest_answer
 from ..wire import headers
-from .service_exchange import NotToldError, ServiceExchange
-from .service_order import ServiceOrder
+from .service_exchange import NoVerifiedAnswerError, ServiceExchange
+from .service_request import ServiceRequest
 
 ATTEMPT = "r.1"
 
@@ -21,40 +21,40 @@
 def make_answer(code: str, outcome: str, attempt: str = ATTEMPT, status: int = 200) -> dict:
     """Returns the headers of an answer with the body b"ok"."""
     digest = digest_answer(attempt, status, "text/plain", outcome, code, b"ok")
-    given = {
+    fields = {
         "Content-Type": "text/plain",
         headers.OUTCOME: outcome,
         headers.ANSWER_DIGEST: digest.hex(),
     }
-    return given | ({headers.ERROR_CODE: code} if code else {})
+    return fields | ({headers.ERROR_CODE: code} if code else {})
 
 
-def judge(given: dict[str, str], body: bytes, status: int = 200) -> object:
-    """Has an exchange judge an answer."""
-    order = ServiceOrder("tally", "POST", "/charge", "text/plain", b"")
-    exchange = ServiceExchange(mock.Mock(), mock.Mock(), order, "w", "r", None, None)
+def verify(fields: dict[str, str], body: bytes, status: int = 200) -> object:
+    """Verifies an answer as an exchange does."""
+    call = ServiceRequest("tally", "POST", "/charge", "text/plain", b"")
+    exchange = ServiceExchange(mock.Mock(), mock.Mock(), call, "w", "r", None, None)
     request = httpclient.HTTPRequest("http://x")
-    told = httputil.HTTPHeaders(given)
-    response = httpclient.HTTPResponse(request, status, told, buffer=io.BytesIO(body))
-    return exchange._judge(ATTEMPT, response)
+    head = httputil.HTTPHeaders(fields)
+    response = httpclient.HTTPResponse(request, status, head, buffer=io.BytesIO(body))
+    return exchange._verify(ATTEMPT, response)
 
 
 class ServiceExchangeTest(unittest.TestCase):
-    """Answers cross on reused connections, and links change bytes."""
+    """Answers may arrive at the wrong attempt, and links may corrupt bytes."""
 
-    def test_sealed_answers_are_believed(self) -> None:
-        self.assertEqual(judge(make_answer("", "done"), b"ok").body, b"ok")
+    def test_answers_with_valid_digest_are_accepted(self) -> None:
+        self.assertEqual(verify(make_answer("", "done"), b"ok").body, b"ok")
         with self.assertRaises(CodedError) as caught:
-            judge(make_answer("endpoint_leaving", "not_run"), b"ok")
+            verify(make_answer("endpoint_leaving", "not_run"), b"ok")
         self.assertIs(caught.exception.outcome, Outcome.NOT_RUN)
 
-    def test_another_attempts_refusal_proves_nothing(self) -> None:
-        """A late "not run" of an abandoned call arrives on the connection of another.
+    def test_refusal_of_another_attempt_is_rejected(self) -> None:
+        """A late "not run" of an abandoned call arrives on another call's connection.
 
-        Believed, the other call would be run a second time elsewhere.
+        If it were believed, the other call would run a second time elsewhere.
         """
-        with self.assertRaises(NotToldError) as caught:
-            judge(make_answer("endpoint_leaving", "not_run", "r.0"), b"ok")
+        with self.assertRaises(NoVerifiedAnswerError) as caught:
+            verify(make_answer("endpoint_leaving", "not_run", "r.0"), b"ok")
         self.assertIs(caught.exception.outcome, Outcome.UNKNOWN)
 
     @hypothesis.settings(derandomize=True, max_examples=400)
@@ -63,13 +63,13 @@
         strategies.text(strategies.characters(min_codepoint=33, max_codepoint=126), max_size=40),
         strategies.sampled_from([("", "done"), ("endpoint_leaving", "not_run")]),
     )
-    def test_any_change_is_seen(self, name: str, value: str, answer: tuple[str, str]) -> None:
-        given, body = make_answer(*answer), b"ok"
+    def test_any_change_is_detected(self, name: str, value: str, answer: tuple[str, str]) -> None:
+        fields, body = make_answer(*answer), b"ok"
         if name:
-            hypothesis.assume(given.get(name, "") != value)
-            given[name] = value
+            hypothesis.assume(fields.get(name, "") != value)
+            fields[name] = value
         else:
             hypothesis.assume(value != "ok")
             body = value.encode()
-        with self.assertRaises(NotToldError):
-            judge(given, body)
+        with self.assertRaises(NoVerifiedAnswerError):
+            verify(fields, body)
--- a/wasabidrum/entry/service_handler.py
+++ b/wasabidrum/entry/service_handler.py
@@ -1,4 +1,4 @@
-"""Passes calls to plain services through by path."""
+"""Forwards callers' requests to plain services, which are addressed by path."""
 
 import re
 
@@ -7,68 +7,68 @@
 from ..wire import headers
 from .caller_handler import CallerHandler
 from .key_never_runs import weaken_refusal
-from .service_order import ServiceOrder
+from .service_request import ServiceRequest
 
-PATH_FORM = re.compile(r"/[!-~]*")
+PATH_PATTERN = re.compile(r"/[!-~]*")
 DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|%2f|$)", re.IGNORECASE)
-CONTENT_TYPE_FORM = re.compile(r"[ -~]{1,200}")
+CONTENT_TYPE_PATTERN = re.compile(r"[ -~]{1,200}")
 FALLBACK_CONTENT_TYPE = "application/octet-stream"
 
 
 def plain_content_type(given: str) -> str:
-    """Returns a content type that is safe to repeat in a header."""
-    return given if CONTENT_TYPE_FORM.fullmatch(given) else FALLBACK_CONTENT_TYPE
+    """Returns a content type that is safe to copy into a response header."""
+    return given if CONTENT_TYPE_PATTERN.fullmatch(given) else FALLBACK_CONTENT_TYPE
 
 
 class ServiceHandler(CallerHandler):
-    """Any method on /services/SERVICE/PATH."""
+    """Serves GET, POST, PUT, PATCH and DELETE on /services/SERVICE/PATH."""
 
     def refuse(self, error: CodedError) -> None:
-        """Answers with an error that does not claim more of a keyed call than is proved."""
+        """Responds with an error whose outcome is certain for every copy of a call with a key."""
         if key := self.request.headers.get(headers.IDEMPOTENCY_KEY):
             error = weaken_refusal(error, key)
         super().refuse(error)
 
     async def get(self, service: str) -> None:
-        """Passes a read."""
-        await self.run(lambda: self.answer(service))
+        """Forwards a GET request."""
+        await self.run(lambda: self.respond(service))
 
     async def post(self, service: str) -> None:
-        """Passes a call with a body."""
-        await self.run(lambda: self.answer(service))
+        """Forwards a request of any other supported method."""
+        await self.run(lambda: self.respond(service))
 
     put = patch = delete = post
 
     def service_path(self, service: str) -> str:
-        """Returns path and query as the caller wrote them, without our own prefix.
+        """Returns path and query as the caller wrote them, without the /services prefix.
 
-        The path is not decoded: decoded, %3F would turn into the mark before a query, and
-        a call would be taken for another one that is listed as idempotent.
+        The path is not decoded: a decoded %3F would become the start of a query, and the call
+        could be mistaken for one that is configured as idempotent.
 
         Raises:
-          CodedError: The path could be read in two ways.
+          CodedError: The path is ambiguous or has invalid characters.
         """
         path = self.request.path.removeprefix(f"/services/{service}")
-        if PATH_FORM.fullmatch(path) is None or DOT_SEGMENT.search(path) is not None:
-            raise CodedError("path_invalid", "the path is not valid", 400)
+        if PATH_PATTERN.fullmatch(path) is None or DOT_SEGMENT.search(path) is not None:
+            raise CodedError("path_invalid", "the path is invalid", 400)
         return path + ("?" + self.request.query if self.request.query else "")
 
-    async def answer(self, service: str) -> None:
-        """Checks the request, makes the call, and answers."""
+    async def respond(self, service: str) -> None:
+        """Validates the request, makes the call and responds."""
         caller = self.caller
         if service not in caller.revision.fleet.workspaces[caller.workspace].services:
-            raise CodedError("service_unknown", "no such service", 404)
+            raise CodedError("service_unknown", "unknown service", 404)
         path = self.service_path(service)
-        given = self.request.headers
-        order = ServiceOrder(
+        head = self.request.headers
+        request = ServiceRequest(
             service,
             self.request.method,
             path,
-            plain_content_type(given.get("Content-Type", "application/json")),
+            plain_content_type(head.get("Content-Type", "application/json")),
             self.body,
-            given.get(headers.IDEMPOTENCY_KEY, ""),
+            head.get(headers.IDEMPOTENCY_KEY, ""),
         )
-        reply = await self.entry.services.call(caller, order)
+        reply = await self.entry.services.call(caller, request)
         self.set_status(reply.status)
         self.set_header("Content-Type", plain_content_type(reply.content_type))
         self.set_header(headers.REQUEST_ID, caller.request_id)
@@ -76,4 +76,4 @@
         if reply.replayed:
             self.set_header(headers.IDEMPOTENT_REPLAYED, "true")
         self.write(reply.body)
-        self.note_done(service=service)
+        self.log_completion(service=service)
--- a/wasabidrum/entry/service_order.py
+++ b/wasabidrum/entry/service_request.py
@@ -1,11 +1,11 @@
-"""A call to a plain service as its caller sent it."""
+"""A caller's request to a plain service."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceOrder:
-    """What is to be sent to which service.
+class ServiceRequest:
+    """A request to a plain service as its caller sent it.
 
     Attributes:
       key: The caller's idempotency key, or empty.
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -17,10 +17,10 @@
 
 
 class TargetPool:
-    """Brings what the table knows to the decisions, ten times a second at most.
+    """Copies the endpoint table into the state that decisions use, at most ten times a second.
 
-    Between two refreshes a decision touches only the endpoints that it draws, so that its
-    cost does not grow with their number.
+    Between two refreshes a decision touches only the few endpoints that it samples, so its cost
+    does not grow with the number of endpoints.
     """
 
     def __init__(
@@ -28,12 +28,12 @@
     ) -> None:
         self.model = model
         self.service = service
-        # Only text is asked of a model, so there is no other class to keep room for.
+        # Models serve a single class of requests, so no room is reserved for another class.
         self.queue = AdmissionQueue(0.0 if model else RESERVED_FRACTION)
         self.waiters: dict[Ticket, asyncio.Future[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.median = 0.0
-        self.fastest = 0.0
+        self.median_token_seconds = 0.0
+        self.fastest_token_seconds = 0.0
         self.views: dict[str, EndpointView] = {}
         self.states: dict[str, EndpointState] = {}
         self.endpoints = EndpointPool((), rng)
@@ -43,52 +43,52 @@
         self._rng = rng
         self._refreshed_at = float("-inf")
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._heard: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
 
     def refresh(self, table: EndpointTable, now: float) -> bool:
-        """Reads the table where the last reading is old; returns whether it did."""
+        """Reads the table unless it was read recently; returns whether it did."""
         if now - self._refreshed_at < REFRESH_SECONDS:
             return False
         self._refreshed_at = now
         views = {view.instance.name: view for view in table.candidates(self.model, self.service)}
-        self._take_views(views)
+        self._update_views(views)
         seconds = [
             state.health.token_seconds
             for state in self.states.values()
             if state.health.token_seconds and state.health.health is Health.HEALTHY
         ]
-        self.median = statistics.median(seconds) if seconds else 0.0
-        self.fastest = min(seconds, default=0.0)
+        self.median_token_seconds = statistics.median(seconds) if seconds else 0.0
+        self.fastest_token_seconds = min(seconds, default=0.0)
         for name, view in views.items():
             self.record_report(name, view, now)
         limits = [
             state.limit.value
             for state in self.states.values()
-            if state.health.may_take(now) and self.can_take(state.name)
+            if state.health.may_take(now) and self.accepts_work(state.name)
         ]
         self.queue.set_limit(sum(limits))
         return True
 
     def refresh_soon(self) -> None:
-        """Has the next decision read the table again, because something changed."""
+        """Makes the next decision read the table again, because something has changed."""
         self._refreshed_at = float("-inf")
 
     def record_report(self, name: str, view: EndpointView, now: float) -> None:
-        """Records a view's load where it is newer than the last one taken."""
-        if view.status is None or view.seen_at <= self._heard.get(name, float("-inf")):
+        """Records a view's load if it is newer than the last one recorded."""
+        if view.status is None or view.seen_at <= self._reported_at.get(name, float("-inf")):
             return
-        self._heard[name] = view.seen_at
-        # A plain service reports no load; its placeholder must not count as one slot.
+        self._reported_at[name] = view.seen_at
+        # A plain service reports no load; its placeholder must not be counted as one slot.
         if self.model:
             run_seconds = self.queue.mean_run_seconds
             self.states[name].record_report(view.status.load, run_seconds, now)
 
     def peer_token_seconds(self, state: EndpointState, now: float) -> float:
-        """Returns the median seconds per token of an endpoint's healthy peers; zero without any.
+        """Returns the median seconds per token of an endpoint's healthy peers, or zero.
 
-        Read at the moment of a verdict, since the last refresh may be from before all of them
-        became slow; and without the endpoint itself, since the last healthy one has nobody
-        who could serve its callers faster.
+        It is computed when needed, because the values of the last refresh may date from before
+        all endpoints became slow. The endpoint itself is left out: without healthy peers there is
+        nobody who could serve its callers faster.
         """
         paces = [
             peer.pace(now)
@@ -96,12 +96,12 @@
             if peer is not state
             and peer.health.health is Health.HEALTHY
             and peer.health.token_seconds
-            and self.can_take(peer.name)
+            and self.accepts_work(peer.name)
         ]
         return statistics.median(paces) if paces else 0.0
 
-    def can_take(self, name: str) -> bool:
-        """Returns whether an endpoint is not leaving, as far as is known at this moment."""
+    def accepts_work(self, name: str) -> bool:
+        """Returns whether an endpoint takes new work, as far as this entry knows right now."""
         view = self.views[name]
         status = view.status
         return (
@@ -113,11 +113,11 @@
         )
 
     def probe_seconds(self, now: float) -> float:
-        """Returns how long until an endpoint that is not healthy is tried again."""
+        """Returns the seconds until the next probe of an unhealthy endpoint is due."""
         waits = [state.health.probe_at - now for state in self.states.values()]
         return max(0.0, min(waits)) if waits else 0.0
 
-    def _take_views(self, views: dict[str, EndpointView]) -> None:
+    def _update_views(self, views: dict[str, EndpointView]) -> None:
         addresses = {
             name: (view.instance.host, view.instance.http_port) for name, view in views.items()
         }
@@ -129,13 +129,13 @@
             known = self.states.get(name)
             if known is None or self._addresses.get(name) != addresses[name]:
                 known = EndpointState(name, self._tier_of(view), self._rng)
-                self._heard.pop(name, None)
+                self._reported_at.pop(name, None)
             states[name] = known
         if states.keys() != self.states.keys():
             self.ring = PrefixRing(states)
         self.states = states
         self._addresses = addresses
-        self._heard = {name: at for name, at in self._heard.items() if name in states}
+        self._reported_at = {name: at for name, at in self._reported_at.items() if name in states}
         self.endpoints = EndpointPool(states.values(), self._rng)
 
     def _tier_of(self, view: EndpointView) -> int:
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/traffic.py
@@ -1,4 +1,4 @@
-"""Where the entry's tasks ask the decisions: who is served, where work goes, who retries."""
+"""Applies the load decisions to requests: admission, choice of endpoint and retries."""
 
 import asyncio
 import collections.abc
@@ -15,25 +15,25 @@
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.configuration_follower import ConfigurationFollower
-from .attempt_judge import AttemptJudge
+from .attempt_observer import AttemptObserver
 from .endpoint_table import EndpointTable
-from .no_place_alone import NoPlaceAloneError
+from .no_exclusive_endpoint import NoExclusiveEndpointError
 from .permit import Permit
 from .placement import Placement
 from .refusals import blocked_error, refusal_error
 from .request_costs import RequestCosts
-from .suspect_turns import SuspectTurns
+from .suspect_end_notifier import SuspectEndNotifier
 from .target_pool import REFRESH_SECONDS, TargetPool
 from .work_item import Priority, WorkItem
 
-SHORTEST_TIMER_SECONDS = 0.001
+MIN_TIMER_SECONDS = 0.001
 
 
 class Traffic:
-    """Admission, placement and the retry budget of one entry.
+    """Admits, places and retries the requests of one entry.
 
     Attributes:
-      suspect_turns: Where those wait that place refuses for other suspects' sake.
+      suspect_ends: Wakes requests that could not be placed because of other suspects.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         self._costs = RequestCosts(follower, count_entries, self._rng)
         self._budget = RetryBudget()
         self._guard = poison.PoisonGuard()
-        self._judge = AttemptJudge(self._guard, log)
-        self.suspect_turns = SuspectTurns()
+        self._observer = AttemptObserver(self._guard, log)
+        self.suspect_ends = SuspectEndNotifier()
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for their turn."""
+        """The number of requests waiting for admission."""
         return sum(pool.queue.waiting for pool in self._pools.values())
 
     async def admit(self, item: WorkItem) -> Permit:
-        """Waits for the request's turn.
+        """Waits until the request is admitted.
 
         Raises:
-          CodedError: It is refused, with outcome NOT_RUN and when to come back.
+          CodedError: It is refused, with outcome NOT_RUN and a time after which to retry.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -78,7 +78,9 @@
             raise blocked_error()
         ticket = self._costs.make_ticket(item)
         if not self._room.take(item.priority):
-            raise refusal_error(Refusal("entry_full", "this entry holds too many requests", 1.0))
+            raise refusal_error(
+                Refusal("entry_full", "this entry has too many requests in progress", 1.0)
+            )
         try:
             self._costs.charge(item, ticket, now)
         except CodedError:
@@ -92,7 +94,7 @@
         if refusal is not None:
             self._room.give_back()
             self._costs.refund(item, ticket)
-            raise self._refuse(refusal, pool, now)
+            raise self._make_refusal(refusal, pool, now)
         permit = Permit(self, pool, ticket, item)
         if ticket.state is TicketState.RUNNING:
             item.over_share = ticket.over_share
@@ -116,10 +118,10 @@
         return permit
 
     def place(self, item: WorkItem, tried: frozenset[str] = frozenset()) -> Placement:
-        """Chooses an endpoint that was not tried yet.
+        """Chooses an endpoint that is not in tried and starts an attempt there.
 
         Raises:
-          NoPlaceAloneError: One could, but for another suspect that runs there.
+          NoExclusiveEndpointError: Only endpoints that run another suspect have room.
           CodedError: No endpoint can take the request now; outcome NOT_RUN.
         """
         now = asyncio.get_running_loop().time()
@@ -133,7 +135,7 @@
         state, preferred = self._choose(pool, item, tried, suspect, now)
         if state is None:
             alone = suspect and self._choose(pool, item, tried, False, now)[0] is not None
-            raise self._no_place_error(pool, alone, now)
+            raise self._no_endpoint_error(pool, alone, now)
         if not item.placements:
             self._budget.earn()
         item.placements += 1
@@ -155,7 +157,7 @@
         return Placement(item, pool.views[state.name], state, suspect, self)
 
     async def wait_for_endpoint(self, item: WorkItem, tried: frozenset[str] = frozenset()) -> bool:
-        """Waits for an endpoint that is only silent; returns whether one can be chosen."""
+        """Waits for an endpoint that is only silent; returns whether one can be chosen now."""
         heard = await self._table.wait_until_heard(item.model, item.service, item.deadline, tried)
         if heard:
             pool = self._pool(item)
@@ -164,7 +166,7 @@
         return heard
 
     def may_retry(self, item: WorkItem) -> bool:
-        """Returns whether the budget allows one more attempt, and takes it from the budget."""
+        """Returns whether the retry budget allows one more attempt, and deducts it."""
         now = asyncio.get_running_loop().time()
         if item.fingerprint and self._guard.is_blocked(item.fingerprint, now):
             return False
@@ -174,11 +176,11 @@
         return True
 
     def retry_delay(self, item: WorkItem) -> float:
-        """Returns seconds to wait before a retry that may_retry allowed."""
+        """Returns the seconds to wait before a retry that may_retry allowed."""
         return backoff.delay_before(max(1, item.retries), self._rng)
 
     def take_status(self, status: Status) -> None:
-        """Takes a status that came on an answer."""
+        """Records a status that a response carried."""
         self._table.take_status(status)
         now = asyncio.get_running_loop().time()
         if status.suspects:
@@ -188,21 +190,21 @@
             pool.record_report(status.name, pool.views[status.name], now)
 
     def record_pause(self) -> None:
-        """Records that this process stood still until now."""
-        self._judge.record_pause(asyncio.get_running_loop().time())
+        """Records that this process was paused until now."""
+        self._observer.record_pause(asyncio.get_running_loop().time())
 
     def record_progress(self, placement: Placement, tokens: int, now: float) -> None:
-        """Records tokens that arrived at one attempt."""
-        self._judge.record_progress(placement, self._pool(placement.item), tokens, now)
+        """Records that tokens of an attempt arrived."""
+        self._observer.record_progress(placement, self._pool(placement.item), tokens, now)
 
     def record_end(self, placement: Placement, code: str, now: float) -> None:
-        """Records the end of one attempt."""
-        self._judge.record_end(placement, self._pool(placement.item), code, now)
+        """Records the end of an attempt."""
+        self._observer.record_end(placement, self._pool(placement.item), code, now)
         if placement.suspect:
-            self.suspect_turns.note_end()
+            self.suspect_ends.notify()
 
     def release(self, pool: TargetPool, ticket: Ticket, item: WorkItem) -> None:
-        """Ends a request's admission, and lets those run whose turn it is now."""
+        """Ends a request's admission and admits the next waiting ones."""
         now = asyncio.get_running_loop().time()
         cost = self._costs.settle(item, ticket)
         pool.waiters.pop(ticket, None)
@@ -222,7 +224,7 @@
             return (
                 state.name not in tried
                 and state.health.may_take(now)
-                and pool.can_take(state.name)
+                and pool.accepts_work(state.name)
                 and not (suspect and not self._guard.may_run_at(state.name))
             )
 
@@ -235,13 +237,13 @@
             preferred = pool.ring.preferred(head)
         if item.priority is Priority.GENERATE:
             return pool.endpoints.choose(allowed, preferred, now), preferred
-        # A charge that fails can leave its outcome unknown, so it is a probe only where
-        # nothing else is left.
+        # A failed charge can leave its outcome unknown, so a charge serves as a probe only if no
+        # healthy endpoint is left.
         state = pool.endpoints.choose(healthy, preferred, now)
         return state or pool.endpoints.choose(allowed, preferred, now), preferred
 
     async def _wait_or_refund(self, item: WorkItem, ticket: Ticket) -> bool:
-        """Waits for an endpoint; gives back what was taken where the caller leaves meanwhile."""
+        """Waits for an endpoint; undoes the admission if the caller disconnects meanwhile."""
         try:
             return await self.wait_for_endpoint(item)
         except asyncio.CancelledError:
@@ -258,26 +260,28 @@
         return pool
 
     def _advance(self, pool: TargetPool, now: float) -> None:
-        """Brings a pool up to date: gives up whose time has passed, runs whose turn it is."""
+        """Brings a pool up to date: expires waiting requests and admits those that may run."""
         if pool.refresh(self._table, now):
-            self._read_views(pool, now)
+            self._process_views(pool, now)
         for ticket, refusal in pool.queue.expire(now):
             turn = pool.waiters.pop(ticket, None)
             if turn is not None and not turn.done():
-                turn.set_exception(self._refuse(refusal, pool, now))
+                turn.set_exception(self._make_refusal(refusal, pool, now))
         for ticket in pool.queue.grant(now):
             turn = pool.waiters.pop(ticket, None)
             if turn is not None and not turn.done():
                 turn.set_result(None)
         self._set_timer(pool, now)
 
-    def _read_views(self, pool: TargetPool, now: float) -> None:
-        # A paused engine sends nothing, so that no token could tell that it is slow; only
-        # answers that have begun and stand still do.
+    def _process_views(self, pool: TargetPool, now: float) -> None:
+        # A stalled engine sends no tokens by which its pace could be judged. It is recognised by
+        # answers that have begun and make no progress.
         for state in pool.states.values():
             silent = now - state.progress_at
-            if state.streaming and state.health.record_silence(silent, pool.median, now):
-                self._judge.eject(pool, state, f"silent for {silent:.1f} s")
+            if state.streaming and state.health.record_silence(
+                silent, pool.median_token_seconds, now
+            ):
+                self._observer.eject(pool, state, f"silent for {silent:.1f} s")
         for name, view in pool.views.items():
             if view.status is not None and view.status.suspects:
                 self._guard.record_reported(name, view.status.suspects, now)
@@ -289,25 +293,25 @@
         expiry = pool.queue.next_expiry()
         if expiry is None:
             return
-        seconds = max(SHORTEST_TIMER_SECONDS, min(expiry - now, REFRESH_SECONDS))
+        seconds = max(MIN_TIMER_SECONDS, min(expiry - now, REFRESH_SECONDS))
         loop = asyncio.get_running_loop()
         pool.timer = loop.call_later(seconds, lambda: self._advance(pool, loop.time()))
 
-    def _no_place_error(self, pool: TargetPool, alone: bool, now: float) -> CodedError:
-        """Returns why a request that was let in cannot be placed.
+    def _no_endpoint_error(self, pool: TargetPool, alone: bool, now: float) -> CodedError:
+        """Returns the error for an admitted request that cannot be placed.
 
         Args:
-          alone: Whether only other suspects keep it from an endpoint.
+          alone: Whether an endpoint is available except for the suspects running there.
         """
         retry = backoff.spread(max(1.0, pool.probe_seconds(now)), self._rng)
-        kind = NoPlaceAloneError if alone else CodedError
-        return kind("no_endpoint", "no endpoint can answer now", 503, retry_after=retry)
+        kind = NoExclusiveEndpointError if alone else CodedError
+        return kind("no_endpoint", "no endpoint can take the request now", 503, retry_after=retry)
 
-    def _refuse(self, refusal: Refusal, pool: TargetPool, now: float) -> CodedError:
+    def _make_refusal(self, refusal: Refusal, pool: TargetPool, now: float) -> CodedError:
         seconds = refusal.retry_after
         if refusal.code == "no_endpoint":
             seconds = max(seconds, pool.probe_seconds(now))
-        # Callers that are refused together would come back together.
+        # Callers refused at the same moment should not all retry at the same moment.
         return refusal_error(
             Refusal(refusal.code, refusal.reason, backoff.spread(seconds, self._rng))
         )
--- a/wasabidrum/entry/unknown_path_handler.py
+++ b/wasabidrum/entry/unknown_path_handler.py
@@ -1,12 +1,12 @@
-"""Answers requests for a path that is not served."""
+"""Responds to requests for paths that are not served."""
 
 from ..core.errors import CodedError
 from .caller_handler import CallerHandler
 
 
 class UnknownPathHandler(CallerHandler):
-    """Any method on any other path."""
+    """Serves every other path, whatever the method."""
 
     def prepare(self) -> None:
-        """Refuses, whoever asks."""
-        self.refuse_early(CodedError("path_unknown", "no such path", 404))
+        """Refuses the request without authentication."""
+        self.refuse_early(CodedError("path_unknown", "unknown path", 404))
--- a/wasabidrum/entry/work_item.py
+++ b/wasabidrum/entry/work_item.py
@@ -1,4 +1,4 @@
-"""One request as the decisions under load see it."""
+"""One request as the load decisions see it."""
 
 import dataclasses
 import enum
@@ -6,12 +6,12 @@
 
 from ..decisions import poison
 
-USUAL_PRIORITY = 1
+NORMAL_PRIORITY = 1
 OVER_SHARE_PRIORITY = 2
 
 
 class Priority(enum.IntEnum):
-    """Classes of work; a lower number is served first."""
+    """Priority classes of requests; a lower number is served first."""
 
     CHARGE = 0
     READ = 1
@@ -20,20 +20,20 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkItem:
-    """What decides who is served, who waits and where a request goes.
+    """What admission, routing and retries need to know of a request.
 
     Attributes:
       deadline: When the caller stops waiting, by the event loop's clock.
-      awake_deadline: The same, by the clock that counts while the instance is suspended; what
-        may not be repeated is judged by it.
+      awake_deadline: The same moment by the boot-time clock, which keeps counting while the
+        instance is suspended. It is what service calls are held to.
       idempotent: Whether the request may be repeated.
-      prompt: The text of a model request, for prefix affinity; empty for a service.
-      max_tokens: The most tokens that may be generated; zero for a service.
-      tokens_done: Tokens that arrived so far, over all attempts.
-      whole: Whether an attempt ended with a whole answer.
-      retries: Attempts after the first that the budget allowed.
-      placements: Attempts that were sent to an endpoint.
-      over_share: Whether its workspace had more than its share when it was admitted.
+      prompt: The prompt of a model request, for prefix affinity; empty for a service call.
+      max_tokens: The most tokens that may be generated; zero for a service call.
+      tokens_received: Tokens that have arrived so far, over all attempts.
+      completed: Whether an attempt ended with a complete answer.
+      retries: Retries that were taken from the retry budget.
+      placements: Attempts that were placed at an endpoint.
+      over_share: Whether its workspace exceeded its share when the request was admitted.
     """
 
     request_id: str
@@ -45,8 +45,8 @@
     service: str = ""
     prompt: str = ""
     max_tokens: int = 0
-    tokens_done: int = 0
-    whole: bool = False
+    tokens_received: int = 0
+    completed: bool = False
     retries: int = 0
     placements: int = 0
     over_share: bool = False
@@ -55,21 +55,21 @@
 
     @property
     def fingerprint(self) -> str:
-        """The mark by which a prompt that crashes endpoints is known; empty for a service."""
+        """The hash that identifies a prompt which may crash engines; empty for a service call."""
         if not self._fingerprint and self.prompt:
             self._fingerprint = poison.fingerprint_of(self.prompt)
         return self._fingerprint
 
     @property
     def engine_priority(self) -> int:
-        """The priority that an engine's own queue is told; lower runs first.
+        """The priority in the engine's own queue; lower runs first.
 
-        Several entries share an engine and cannot know its queue exactly. Without this the
-        requests of small workspaces would wait there behind those of a hot one.
+        Several entries share an engine, and none knows its queue exactly. Without this priority
+        the requests of small workspaces would wait there behind those of a busy one.
         """
-        return OVER_SHARE_PRIORITY if self.over_share else USUAL_PRIORITY
+        return OVER_SHARE_PRIORITY if self.over_share else NORMAL_PRIORITY
 
     @property
     def target(self) -> str:
-        """The model or the service."""
+        """The name of the model or the service."""
         return self.model or self.service
