--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -12,7 +12,7 @@
 from wasabidrum.core.load import Load
 from wasabidrum.core.status import Status
 from wasabidrum.entry.endpoint_table import EndpointView
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 from wasabidrum.entry.work_item import Priority, WorkItem
 from wasabidrum.observe.event_log import EventLog
 
@@ -45,7 +45,7 @@
 async def decide(number: int) -> float:
     """Returns microseconds to admit, place and end one request before some endpoints."""
     log = EventLog(logbook.Logger("bench", level=logbook.CRITICAL), "bench")
-    traffic = Traffic(StaticTable(number), log, None, "r", "r-1", random.Random(1))
+    traffic = RequestScheduler(StaticTable(number), log, None, "r", "r-1", random.Random(1))
     deadline = asyncio.get_running_loop().time() + 1000.0
     prompt = "word " * 80
     spent = []
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -9,7 +9,7 @@
 import sys
 
 from tests.fake_fleet import FakeFleet, percentile, run_with_paused_clock
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 
 from .plain_entry import PlainTraffic
 from .report import Aim, is_quick, print_report
@@ -27,7 +27,7 @@
     return type(policy, (PlainTraffic,), {"policy": policy})
 
 
-def play(make_traffic: type[Traffic], seconds: float) -> dict[str, float]:
+def play(make_traffic: type[RequestScheduler], seconds: float) -> dict[str, float]:
     """Plays one policy; returns its figures."""
     fleet = FakeFleet(ENGINES, SLOTS, ENTRIES, make_traffic=make_traffic)
     fleet.report_lag = 1.0
@@ -60,7 +60,7 @@
 def main() -> int:
     """Runs the comparison."""
     seconds = 10.0 if is_quick() else 30.0
-    policies: dict[str, type[Traffic]] = {"ours": Traffic}
+    policies: dict[str, type[RequestScheduler]] = {"ours": RequestScheduler}
     for policy in ("random", "round_robin", "least_reported", "no_admission"):
         policies[policy] = make_plain(policy)
     found = {}
--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -16,7 +16,7 @@
 from wasabidrum.entry import daemon as entry_daemon
 from wasabidrum.entry.permit import Permit
 from wasabidrum.entry.placement import Placement
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 from wasabidrum.entry.work_item import WorkItem
 from wasabidrum.scripts import daemon
 
@@ -28,7 +28,7 @@
     return view.status.load.running + view.status.load.waiting
 
 
-class PlainTraffic(Traffic):
+class PlainTraffic(RequestScheduler):
     """Admits everything and places by one simple rule."""
 
     policy = os.environ.get(POLICY_VARIABLE, "no_admission")
@@ -78,5 +78,5 @@
 
 
 if __name__ == "__main__":
-    entry_daemon.Traffic = PlainTraffic
+    entry_daemon.RequestScheduler = PlainTraffic
     sys.exit(daemon.main())
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -21,7 +21,7 @@
 from wasabidrum.decisions import poison
 from wasabidrum.decisions.death_record import DeathRecord
 from wasabidrum.entry.endpoint_table import EndpointView
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 from wasabidrum.entry.work_item import Priority, WorkItem
 from wasabidrum.observe.event_log import EventLog
 
@@ -213,7 +213,7 @@
         shares: dict[str, float] | None = None,
         data_centres: dict[str, str] | None = None,
         seed: int = 1,
-        make_traffic=Traffic,
+        make_traffic=RequestScheduler,
         limits: dict[str, float] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
@@ -291,7 +291,7 @@
         self.answers.append(answer)
         return answer
 
-    async def _serve(self, traffic: Traffic, item: WorkItem, answer: Answer) -> None:
+    async def _serve(self, traffic: RequestScheduler, item: WorkItem, answer: Answer) -> None:
         permit = await traffic.admit(item)
         tried: set[str] = set()
         try:
--- a/wasabidrum/entry/attempt_observer_test.py
+++ b/wasabidrum/entry/attempt_observer_test.py
@@ -22,7 +22,7 @@
         async def work() -> list[Health]:
             fleet = FakeFleet(engines=2, slots=8)
             await fleet.start()
-            self.traffic = fleet.traffics[0]
+            self.scheduler = fleet.traffics[0]
             streams = [
                 [self.place(name, other) for _ in range(STREAMS_EACH)]
                 for name, other in (("e0", "e1"), ("e1", "e0"))
@@ -37,7 +37,7 @@
 
     def place(self, name: str, other: str) -> Placement:
         """Places a stream at one of the engines and reports its first token."""
-        placement = self.traffic.place(self.make_item(), frozenset((other,)))
+        placement = self.scheduler.place(self.make_item(), frozenset((other,)))
         self.assertEqual(placement.state.name, name)
         placement.progressed(1)
         return placement
@@ -53,7 +53,7 @@
             for placement in placements:
                 placement.progressed(1)
         # The entry refreshes its view of the endpoints whenever a request is admitted.
-        permit = await self.traffic.admit(self.make_item())
+        permit = await self.scheduler.admit(self.make_item())
         permit.release()
 
     async def slow_down_first(self, first: list[Placement], second: list[Placement]) -> None:
@@ -120,19 +120,19 @@
         async def work() -> float:
             fleet = FakeFleet(engines=2, slots=8)
             await fleet.start()
-            traffic = fleet.traffics[0]
+            scheduler = fleet.traffics[0]
             item = WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "", 1000)
             for _ in range(3):
-                placement = traffic.place(item, frozenset(("e1",)))
+                placement = scheduler.place(item, frozenset(("e1",)))
                 await asyncio.sleep(0.01)
                 placement.progressed(1)
                 placement.ended()
             limit = placement.state.limit
             before = limit.value
-            placement = traffic.place(item, frozenset(("e1",)))
+            placement = scheduler.place(item, frozenset(("e1",)))
             await asyncio.sleep(1.5)
             if detected:
-                traffic.record_pause()
+                scheduler.record_pause()
             placement.progressed(1)
             fleet.stop()
             return limit.value / before
--- a/wasabidrum/entry/daemon.py
+++ b/wasabidrum/entry/daemon.py
@@ -25,8 +25,8 @@
 from .endpoint_table import EndpointTable
 from .endpoint_watcher import EndpointWatcher
 from .model_call import ModelCaller
+from .request_scheduler import RequestScheduler
 from .service_call import ServiceCaller
-from .traffic import Traffic
 
 # How long a stopping entry still accepts connections and refuses requests with a proper error.
 # Until a load balancer notices, it keeps sending requests here; closing the port at once would
@@ -69,7 +69,7 @@
             settings, directory, self.follower, self.status, log, self._report_failure
         )
         entries = EntryCounter(self.node.table, settings.name)
-        traffic = Traffic(
+        scheduler = RequestScheduler(
             self.table,
             log,
             self.follower,
@@ -77,10 +77,10 @@
             settings.data_centre,
             count_entries=entries.count,
         )
-        self._add_gauges(traffic)
-        self.node.on_pause.append(lambda seconds: traffic.record_pause())
-        self.models = ModelCaller(client, traffic, self.table, log)
-        self.services = ServiceCaller(client, traffic, self.table, log)
+        self._add_gauges(scheduler)
+        self.node.on_pause.append(lambda seconds: scheduler.record_pause())
+        self.models = ModelCaller(client, scheduler, self.table, log)
+        self.services = ServiceCaller(client, scheduler, self.table, log)
 
     async def start(self) -> None:
         """Starts the servers and the background tasks."""
@@ -115,7 +115,7 @@
             incarnation=self._incarnation,
         )
 
-    def _add_gauges(self, traffic: Traffic) -> None:
+    def _add_gauges(self, scheduler: RequestScheduler) -> None:
         add = self.log.metrics.add_gauge
         add("revision", "The configuration revision in force here.", lambda: self.follower.revision)
         add(
@@ -123,7 +123,7 @@
             "Requests of callers begun and not ended.",
             lambda: self.requests.count,
         )
-        add("requests_waiting", "Requests that wait for their turn.", lambda: traffic.waiting)
+        add("requests_waiting", "Requests that wait for their turn.", lambda: scheduler.waiting)
         add("endpoints_known", "Endpoints in this entry's table.", lambda: len(self.table.views))
         add("leaving", "One while this daemon takes no new work.", lambda: self.leaving)
 
--- a/wasabidrum/entry/model_call.py
+++ b/wasabidrum/entry/model_call.py
@@ -12,9 +12,9 @@
 from .endpoint_table import EndpointTable
 from .model_attempt import ModelAttempt
 from .no_exclusive_endpoint import NoExclusiveEndpointError
+from .request_scheduler import RequestScheduler
 from .retry_policy import RetryPolicy
 from .token_stream_reader import TokenBatch
-from .traffic import Traffic
 from .work_item import Priority, WorkItem
 
 # Most streams finish by themselves within this time. A longer one is moved to another endpoint,
@@ -26,17 +26,17 @@
 class ModelCaller:
     """Runs model requests for the callers of one entry."""
 
-    __slots__ = ("_client", "_traffic", "_table", "_log")
+    __slots__ = ("_client", "_scheduler", "_table", "_log")
 
     def __init__(
         self,
         client: httpclient.AsyncHTTPClient,
-        traffic: Traffic,
+        scheduler: RequestScheduler,
         table: EndpointTable,
         log: EventLog,
     ) -> None:
         self._client = client
-        self._traffic = traffic
+        self._scheduler = scheduler
         self._table = table
         self._log = log
 
@@ -58,8 +58,8 @@
             prompt=prompt,
             max_tokens=max_tokens,
         )
-        permit = await self._traffic.admit(item)
-        stream = ResumableStream(self._client, self._traffic, self._table, self._log, item)
+        permit = await self._scheduler.admit(item)
+        stream = ResumableStream(self._client, self._scheduler, self._table, self._log, item)
         try:
             while True:
                 batch = await stream.read()
@@ -75,23 +75,23 @@
 class ResumableStream:
     """One answer, read over as many attempts as needed and as the retry budget allows."""
 
-    __slots__ = ("_client", "_traffic", "_table", "_log", "_item", "_attempt", "_tried")
+    __slots__ = ("_client", "_scheduler", "_table", "_log", "_item", "_attempt", "_tried")
     __slots__ += ("_version", "_next_token", "_handover_at", "_finished", "_retries")
 
     def __init__(
         self,
         client: httpclient.AsyncHTTPClient,
-        traffic: Traffic,
+        scheduler: RequestScheduler,
         table: EndpointTable,
         log: EventLog,
         item: WorkItem,
     ) -> None:
         self._client = client
-        self._traffic = traffic
+        self._scheduler = scheduler
         self._table = table
         self._log = log
         self._item = item
-        self._retries = RetryPolicy(traffic, item)
+        self._retries = RetryPolicy(scheduler, item)
         self._attempt: ModelAttempt | None = None
         self._tried: frozenset[str] = frozenset()
         self._version = ""
@@ -146,12 +146,12 @@
                 if not waited:
                     self._log_wait()
                 waited = True
-                if not await self._traffic.suspect_ends.wait(self._item.deadline):
+                if not await self._scheduler.suspect_ends.wait(self._item.deadline):
                     raise
             except CodedError as error:
                 unplaced = self._attempt is None and error.code == "no_endpoint"
                 if not (
-                    unplaced and await self._traffic.wait_for_endpoint(self._item, self._tried)
+                    unplaced and await self._scheduler.wait_for_endpoint(self._item, self._tried)
                 ):
                     raise
 
@@ -172,7 +172,7 @@
                 for view in self._table.views
                 if view.status is None or view.status.version != self._version
             }
-        placement = self._traffic.place(self._item, excluded)
+        placement = self._scheduler.place(self._item, excluded)
         return ModelAttempt(self._client, self._table, placement, self._version, self._next_token)
 
     async def _recover(self, error: CodedError) -> None:
--- a/wasabidrum/entry/placement_test.py
+++ b/wasabidrum/entry/placement_test.py
@@ -16,10 +16,10 @@
         async def run() -> bool:
             fleet = FakeFleet(engines=2)
             await fleet.start()
-            traffic = fleet.traffics[0]
+            scheduler = fleet.traffics[0]
             item = WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "p", 5)
-            permit = await traffic.admit(item)
-            placement = traffic.place(item)
+            permit = await scheduler.admit(item)
+            placement = scheduler.place(item)
             placement.record_head(head)
             placement.ended(code)
             placement.ended(code)
@@ -27,7 +27,7 @@
             permit.release()
             self.assertEqual(placement.state.in_progress, 0)
             fleet.stop()
-            return traffic._guard.is_suspect(item.fingerprint, 1001.0)
+            return scheduler._guard.is_suspect(item.fingerprint, 1001.0)
 
         return run_with_paused_clock(run())
 
--- a/wasabidrum/entry/traffic.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -29,7 +29,7 @@
 MIN_TIMER_SECONDS = 0.001
 
 
-class Traffic:
+class RequestScheduler:
     """Admits, places and retries the requests of one entry.
 
     Attributes:
--- a/wasabidrum/entry/retry_policy.py
+++ b/wasabidrum/entry/retry_policy.py
@@ -2,7 +2,7 @@
 
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
-from .traffic import Traffic
+from .request_scheduler import RequestScheduler
 from .work_item import WorkItem
 
 # The budget bounds the load that retries add to endpoints. These refusals came before an endpoint
@@ -15,10 +15,10 @@
 class RetryPolicy:
     """The retries of one request: a few without the budget, all others as the budget allows."""
 
-    __slots__ = ("_traffic", "_item", "_unbudgeted_left")
+    __slots__ = ("_scheduler", "_item", "_unbudgeted_left")
 
-    def __init__(self, traffic: Traffic, item: WorkItem) -> None:
-        self._traffic = traffic
+    def __init__(self, scheduler: RequestScheduler, item: WorkItem) -> None:
+        self._scheduler = scheduler
         self._item = item
         self._unbudgeted_left = MAX_UNBUDGETED_RETRIES
 
@@ -31,6 +31,6 @@
         ):
             self._unbudgeted_left -= 1
             return 0.0
-        if not self._traffic.may_retry(self._item):
+        if not self._scheduler.may_retry(self._item):
             return None
-        return self._traffic.retry_delay(self._item)
+        return self._scheduler.retry_delay(self._item)
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -18,10 +18,10 @@
 from .key_issuer import KeyIssuer
 from .key_never_runs import KeyNeverRunsError, weaken_refusal
 from .placement import Placement
+from .request_scheduler import RequestScheduler
 from .retry_policy import RetryPolicy
 from .service_exchange import NoVerifiedAnswerError, ServiceExchange
 from .service_request import ServiceRequest
-from .traffic import Traffic
 from .work_item import Priority, WorkItem
 
 # Delays before a call is resent to the only sidecar that may run it. Their sum outlasts a
@@ -49,17 +49,17 @@
 class ServiceCaller:
     """Makes calls to plain services for the callers of one entry."""
 
-    __slots__ = ("_client", "_traffic", "_table", "_log", "keys")
+    __slots__ = ("_client", "_scheduler", "_table", "_log", "keys")
 
     def __init__(
         self,
         client: httpclient.AsyncHTTPClient,
-        traffic: Traffic,
+        scheduler: RequestScheduler,
         table: EndpointTable,
         log: EventLog,
     ) -> None:
         self._client = client
-        self._traffic = traffic
+        self._scheduler = scheduler
         self._table = table
         self._log = log
         self.keys = KeyIssuer(table)
@@ -82,7 +82,7 @@
         )
         if request.key and not call_spec.idempotent:
             return await self._call_with_key(caller, item, request)
-        permit = await self._traffic.admit(item)
+        permit = await self._scheduler.admit(item)
         try:
             return await self._call_anywhere(item, request)
         finally:
@@ -95,7 +95,7 @@
         key = self._check_key(caller, request)
         permit = None
         try:
-            permit = await self._traffic.admit(item)
+            permit = await self._scheduler.admit(item)
         except CodedError as error:
             # The endpoint that the key names can report on calls that it knows, even if no
             # endpoint accepts new work.
@@ -141,7 +141,7 @@
         An idempotent call is retried after any failure, any other call only if it provably did
         not run.
         """
-        retries = RetryPolicy(self._traffic, item)
+        retries = RetryPolicy(self._scheduler, item)
         tried: frozenset[str] = frozenset()
         failure: CodedError | None = None
         while True:
@@ -162,13 +162,13 @@
 
     async def _place(self, item: WorkItem, tried: frozenset[str]) -> Placement:
         try:
-            return self._traffic.place(item, tried)
+            return self._scheduler.place(item, tried)
         except CodedError as error:
-            if error.code != "no_endpoint" or not await self._traffic.wait_for_endpoint(
+            if error.code != "no_endpoint" or not await self._scheduler.wait_for_endpoint(
                 item, tried
             ):
                 raise
-        return self._traffic.place(item, tried)
+        return self._scheduler.place(item, tried)
 
     async def _attempt(self, placement: Placement, request: ServiceRequest) -> ServiceReply:
         item = placement.item
@@ -205,7 +205,7 @@
         # A leaving or full endpoint takes no new work but still reports on earlier calls, so it
         # is asked even if the call cannot be placed there.
         with contextlib.suppress(CodedError):
-            placement = self._traffic.place(item, frozenset(others))
+            placement = self._scheduler.place(item, frozenset(others))
         exchange = self._exchange(view, item, request, key, placement)
         try:
             with ending_placement(placement):
--- a/wasabidrum/entry/service_call_test.py
+++ b/wasabidrum/entry/service_call_test.py
@@ -16,9 +16,9 @@
 from ..wire import headers
 from .caller_request import CallerRequest, make_caller_request
 from .endpoint_table import EndpointTable
+from .request_scheduler import RequestScheduler
 from .service_call import ServiceCaller
 from .service_request import ServiceRequest
-from .traffic import Traffic
 
 NAME = "tally-1"
 SERVICE = "tally"
@@ -54,7 +54,9 @@
         place = ("rift", "rift-a", "127.0.0.1", 9, 0)
         self.table.update_instances((Instance(NAME, InstanceRole.SIDECAR, *place),))
         self.report_uptime(UPTIME_SECONDS)
-        self.services = ServiceCaller(self.client, Traffic(self.table, log), self.table, log)
+        self.services = ServiceCaller(
+            self.client, RequestScheduler(self.table, log), self.table, log
+        )
 
     def report_uptime(self, uptime: float) -> None:
         """Reports a status of the sidecar with the given uptime."""
