--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -56,7 +56,7 @@
         began = time.perf_counter()
         permit = await traffic.admit(item)
         placement = traffic.place(item)
-        placement.progressed(10)
+        placement.record_tokens(10)
         placement.ended("")
         permit.release()
         spent.append(time.perf_counter() - began)
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -316,7 +316,7 @@
 
         def progressed(tokens: int) -> None:
             answer.first = answer.first or loop.time() - answer.began
-            placement.progressed(tokens)
+            placement.record_tokens(tokens)
 
         code = "cancelled"
         try:
--- a/wasabidrum/entry/attempt_observer_test.py
+++ b/wasabidrum/entry/attempt_observer_test.py
@@ -39,7 +39,7 @@
         """Places a stream at one of the engines and reports its first token."""
         placement = self.scheduler.place(self.make_item(), frozenset((other,)))
         self.assertEqual(placement.state.name, name)
-        placement.progressed(1)
+        placement.record_tokens(1)
         return placement
 
     def make_item(self) -> WorkItem:
@@ -51,7 +51,7 @@
         await asyncio.sleep(seconds)
         for placements in streams:
             for placement in placements:
-                placement.progressed(1)
+                placement.record_tokens(1)
         # The entry refreshes its view of the endpoints whenever a request is admitted.
         permit = await self.scheduler.admit(self.make_item())
         permit.release()
@@ -125,7 +125,7 @@
             for _ in range(3):
                 placement = scheduler.place(item, frozenset(("e1",)))
                 await asyncio.sleep(0.01)
-                placement.progressed(1)
+                placement.record_tokens(1)
                 placement.ended()
             limit = placement.state.limit
             before = limit.value
@@ -133,7 +133,7 @@
             await asyncio.sleep(1.5)
             if detected:
                 scheduler.record_pause()
-            placement.progressed(1)
+            placement.record_tokens(1)
             fleet.stop()
             return limit.value / before
 
--- a/wasabidrum/entry/model_attempt.py
+++ b/wasabidrum/entry/model_attempt.py
@@ -114,7 +114,7 @@
             message = "the answer was not complete by the deadline"
             raise CodedError("deadline_passed", message, 504, Outcome.FAILED) from error
         batch = self._reader.feed(chunk)
-        self.placement.progressed(len(batch.tokens))
+        self.placement.record_tokens(len(batch.tokens))
         return batch
 
     def end(self, code: str) -> None:
--- a/wasabidrum/entry/placement.py
+++ b/wasabidrum/entry/placement.py
@@ -66,7 +66,7 @@
         except msgspec.MsgspecError:
             return
 
-    def progressed(self, tokens: int) -> None:
+    def record_tokens(self, tokens: int) -> None:
         """Records that tokens have just arrived."""
         if tokens > 0:
             self._owner.record_progress(self, tokens, asyncio.get_running_loop().time())
