--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -57,7 +57,7 @@
         permit = await traffic.admit(item)
         placement = traffic.place(item)
         placement.record_tokens(10)
-        placement.ended("")
+        placement.end("")
         permit.release()
         spent.append(time.perf_counter() - began)
     # The table is read ten times a second at most; the median decision does not read it.
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -326,7 +326,7 @@
             code = error.code
             raise
         finally:
-            placement.ended(code)
+            placement.end(code)
 
     async def arrive(self, per_second: float, seconds: float, **asked: object) -> None:
         """Has requests arrive at random times, whatever becomes of earlier ones."""
--- a/wasabidrum/entry/attempt_observer_test.py
+++ b/wasabidrum/entry/attempt_observer_test.py
@@ -126,7 +126,7 @@
                 placement = scheduler.place(item, frozenset(("e1",)))
                 await asyncio.sleep(0.01)
                 placement.record_tokens(1)
-                placement.ended()
+                placement.end()
             limit = placement.state.limit
             before = limit.value
             placement = scheduler.place(item, frozenset(("e1",)))
--- a/wasabidrum/entry/model_attempt.py
+++ b/wasabidrum/entry/model_attempt.py
@@ -119,7 +119,7 @@
 
     def end(self, code: str) -> None:
         """Ends the attempt; one that did not complete is cancelled to free its engine slot."""
-        self.placement.ended(code)
+        self.placement.end(code)
         if self._stream is not None:
             self._stream.drop()
         if code:
--- a/wasabidrum/entry/placement.py
+++ b/wasabidrum/entry/placement.py
@@ -27,7 +27,7 @@
 
 
 class Placement:
-    """Reports the events of one attempt to its owner; ended must be called, and counts once."""
+    """Reports the events of one attempt to its owner; end must be called, and counts once."""
 
     __slots__ = ("item", "view", "state", "started_at", "head_at", "progress_at", "tokens")
     __slots__ += ("suspect", "_owner", "_ended")
@@ -71,7 +71,7 @@
         if tokens > 0:
             self._owner.record_progress(self, tokens, asyncio.get_running_loop().time())
 
-    def ended(self, code: str = "") -> None:
+    def end(self, code: str = "") -> None:
         """Ends the attempt, with the error's code or with none if the answer was complete."""
         if not self._ended:
             self._ended = True
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -336,4 +336,4 @@
         raise
     finally:
         if placement is not None:
-            placement.ended(code)
+            placement.end(code)
