--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -53,7 +53,7 @@
         ]
         pool = self._pool(item)
         now = asyncio.get_running_loop().time()
-        pool.refresh_soon()
+        pool.invalidate()
         pool.refresh(self._table, now)
         if not views:
             raise CodedError("no_endpoint", "no endpoint can answer now", 503, retry_after=1.0)
--- a/wasabidrum/entry/attempt_observer.py
+++ b/wasabidrum/entry/attempt_observer.py
@@ -74,7 +74,7 @@
 
     def eject(self, pool: TargetPool, state: EndpointState, reason: str) -> None:
         """Takes an endpoint out of service until a probe request succeeds there."""
-        pool.refresh_soon()
+        pool.invalidate()
         state.limit.restart()
         self._log.write(
             Event.ENDPOINT_EJECTED,
@@ -108,7 +108,7 @@
             self._record_first_token(placement, state.in_progress + 1, now)
         if state.health.record_success(pool.median_token_seconds):
             state.limit.restart()
-            pool.refresh_soon()
+            pool.invalidate()
             self._log.write(Event.ENDPOINT_RETURNED, endpoint=state.name)
 
     def _record_failure(
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -161,7 +161,7 @@
         heard = await self._table.wait_until_heard(item.model, item.service, item.deadline, tried)
         if heard:
             pool = self._pool(item)
-            pool.refresh_soon()
+            pool.invalidate()
             self._advance(pool, asyncio.get_running_loop().time())
         return heard
 
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -69,7 +69,7 @@
         self.queue.set_limit(sum(limits))
         return True
 
-    def refresh_soon(self) -> None:
+    def invalidate(self) -> None:
         """Makes the next decision read the table again, because something has changed."""
         self._refreshed_at = float("-inf")
 
