--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -161,7 +161,7 @@
         """See EndpointTable; engines that are not heard are not heard again."""
         return False
 
-    def take_status(self, status: Status) -> None:
+    def record_status(self, status: Status) -> None:
         """See EndpointTable."""
 
     def hear(self, lag: float = 0.0, lost: bool = False) -> None:
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -125,7 +125,7 @@
                 views[instance.name] = EndpointView(instance)
         self._views = views
 
-    def take_status(self, status: Status) -> bool:
+    def record_status(self, status: Status) -> bool:
         """Records a status of a sidecar, unless the one already stored is newer.
 
         Returns:
--- a/wasabidrum/entry/endpoint_table_test.py
+++ b/wasabidrum/entry/endpoint_table_test.py
@@ -31,7 +31,7 @@
             )
         )
         for name in names:
-            self.table.take_status(make_status(name, 1))
+            self.table.record_status(make_status(name, 1))
         for name in ("a", "b"):
             self.table.find(name).status = Status(name, InstanceRole.SIDECAR, "i", 1)
 
@@ -49,7 +49,7 @@
     async def test_wait_ends_when_endpoint_is_heard_again(self) -> None:
         self.fall_silent(STATUS_EXPIRES_SECONDS + 0.1)
         loop = asyncio.get_running_loop()
-        loop.call_later(0.3, lambda: self.table.take_status(make_status("tally-1", 2)))
+        loop.call_later(0.3, lambda: self.table.record_status(make_status("tally-1", 2)))
         heard, seconds = await self.wait()
         self.assertTrue(heard)
         self.assertLess(seconds, 1.0)
--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -55,7 +55,7 @@
     def take_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
         self._node.take_push(link, push)
-        if link.status is not None and self._table.take_status(link.status):
+        if link.status is not None and self._table.record_status(link.status):
             self._log.write(Event.ENDPOINT_BACK, endpoint=link.name)
 
     async def run(self) -> None:
--- a/wasabidrum/entry/placement.py
+++ b/wasabidrum/entry/placement.py
@@ -16,7 +16,7 @@
 class PlacementOwner(typing.Protocol):
     """Receives the events of an attempt."""
 
-    def take_status(self, status: Status) -> None:
+    def record_status(self, status: Status) -> None:
         """Records a status that a response carried."""
 
     def record_progress(self, placement: "Placement", tokens: int, now: float) -> None:
@@ -62,7 +62,7 @@
         if encoded_status is None:
             return
         try:
-            self._owner.take_status(msgspec.json.decode(encoded_status, type=Status))
+            self._owner.record_status(msgspec.json.decode(encoded_status, type=Status))
         except msgspec.MsgspecError:
             return
 
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -179,9 +179,9 @@
         """Returns the seconds to wait before a retry that may_retry allowed."""
         return backoff.delay_before(max(1, item.retries), self._rng)
 
-    def take_status(self, status: Status) -> None:
+    def record_status(self, status: Status) -> None:
         """Records a status that a response carried."""
-        self._table.take_status(status)
+        self._table.record_status(status)
         now = asyncio.get_running_loop().time()
         if status.suspects:
             self._guard.record_reported(status.name, status.suspects, now)
--- a/wasabidrum/entry/service_call_test.py
+++ b/wasabidrum/entry/service_call_test.py
@@ -61,7 +61,7 @@
     def report_uptime(self, uptime: float) -> None:
         """Reports a status of the sidecar with the given uptime."""
         told = Status(NAME, InstanceRole.SIDECAR, INCARNATION, service=SERVICE, uptime=uptime)
-        self.table.take_status(told)
+        self.table.record_status(told)
 
     def make_caller(self) -> CallerRequest:
         """Returns a caller's request whose head has just been read."""
