--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -40,7 +40,7 @@
 
     async def admit(self, item: WorkItem) -> Permit:
         """Lets the request run at once."""
-        self._room = InProgressLimit(10**9)
+        self._in_progress_limit = InProgressLimit(10**9)
         pool = self._pool(item)
         return Permit(self, pool, Ticket(item.request_id, "", 2, 1.0, 1.0, item.deadline), item)
 
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -52,7 +52,7 @@
         self._data_centre = data_centre
         self._rng = rng or random.Random()
         self._pools: dict[tuple[str, str], TargetPool] = {}
-        self._room = InProgressLimit()
+        self._in_progress_limit = InProgressLimit()
         self._costs = RequestCosts(follower, count_entries, self._rng)
         self._budget = RetryBudget()
         self._guard = poison.PoisonGuard()
@@ -77,14 +77,14 @@
         if item.fingerprint and self._guard.is_blocked(item.fingerprint, now):
             raise blocked_error()
         ticket = self._costs.make_ticket(item)
-        if not self._room.take(item.priority):
+        if not self._in_progress_limit.take(item.priority):
             raise refusal_error(
                 Refusal("entry_full", "this entry has too many requests in progress", 1.0)
             )
         try:
             self._costs.charge(item, ticket, now)
         except CodedError:
-            self._room.give_back()
+            self._in_progress_limit.give_back()
             raise
         refusal = pool.queue.offer(ticket, now)
         unplaced = refusal is not None and refusal.code == "no_endpoint"
@@ -92,7 +92,7 @@
             now = loop.time()
             refusal = pool.queue.offer(ticket, now)
         if refusal is not None:
-            self._room.give_back()
+            self._in_progress_limit.give_back()
             self._costs.refund(item, ticket)
             raise self._make_refusal(refusal, pool, now)
         permit = Permit(self, pool, ticket, item)
@@ -209,7 +209,7 @@
         cost = self._costs.settle(item, ticket)
         pool.waiters.pop(ticket, None)
         pool.queue.end(ticket, now, cost)
-        self._room.give_back()
+        self._in_progress_limit.give_back()
         self._advance(pool, now)
 
     def _choose(
@@ -247,7 +247,7 @@
         try:
             return await self.wait_for_endpoint(item)
         except asyncio.CancelledError:
-            self._room.give_back()
+            self._in_progress_limit.give_back()
             self._costs.refund(item, ticket)
             raise
 
