--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -173,7 +173,7 @@
 
     def _take(self, view: EndpointView, status: Status) -> None:
         view.status = status
-        view.seen_at = asyncio.get_running_loop().time()
+        view.heard_at = asyncio.get_running_loop().time()
 
 
 @dataclasses.dataclass(slots=True)
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -31,7 +31,7 @@
     """One endpoint as this entry sees it.
 
     Attributes:
-      seen_at: When its sidecar was last heard, by the event loop's clock.
+      heard_at: When its sidecar was last heard, by the event loop's clock.
       status_arrived_at: When its status arrived, by the boot-time clock, which keeps counting
         while the instance is suspended.
       in_progress: The number of this entry's requests that run there.
@@ -40,7 +40,7 @@
 
     instance: Instance
     status: Status | None = None
-    seen_at: float = 0.0
+    heard_at: float = 0.0
     status_arrived_at: float = 0.0
     in_progress: int = 0
     lost: bool = False
@@ -59,7 +59,7 @@
         ):
             return False
         self.status = status
-        self.seen_at = asyncio.get_running_loop().time()
+        self.heard_at = asyncio.get_running_loop().time()
         self.status_arrived_at = awake_seconds()
         self.lost = False
         return True
@@ -147,31 +147,31 @@
         if view is None or view.lost:
             return False
         view.lost = refused
-        was_routable = view.seen_at > float("-inf")
+        was_routable = view.heard_at > float("-inf")
         return refused and was_routable
 
     def exclude_pause(self, seconds: float) -> None:
         """Shifts the times of all views by a pause of this process, which explains silence."""
         for view in self._views.values():
-            view.seen_at += seconds
+            view.heard_at += seconds
 
     def candidates(self, model: str, service: str) -> list[EndpointView]:
         """Returns the endpoints that can take a request for a model or a service now."""
         now = asyncio.get_running_loop().time()
         capable = [view for view in self._views.values() if can_serve(view, model, service)]
-        heard = [view for view in capable if now - view.seen_at <= STATUS_EXPIRES_SECONDS]
+        heard = [view for view in capable if now - view.heard_at <= STATUS_EXPIRES_SECONDS]
         if heard:
             return heard
         # If most endpoints fell silent together, the fault is probably this entry's own. Routing
         # nowhere would turn it into an outage for all callers, while a wrong guess costs one
         # attempt. Endpoints that were silent for a limited time are therefore still used.
         heard_before = [
-            view for view in self._views.values() if view.seen_at > 0.0 and not view.lost
+            view for view in self._views.values() if view.heard_at > 0.0 and not view.lost
         ]
-        silent = sum(now - view.seen_at > STATUS_EXPIRES_SECONDS for view in heard_before)
+        silent = sum(now - view.heard_at > STATUS_EXPIRES_SECONDS for view in heard_before)
         if silent <= len(heard_before) * SILENT_FRACTION:
             return []
-        return [view for view in capable if now - view.seen_at <= LAST_RESORT_STATUS_SECONDS]
+        return [view for view in capable if now - view.heard_at <= LAST_RESORT_STATUS_SECONDS]
 
     async def wait_until_heard(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
@@ -203,7 +203,7 @@
         return any(
             name not in tried
             and can_serve(view, model, service)
-            and now - view.seen_at <= MAX_RECOVERABLE_SILENCE_SECONDS
+            and now - view.heard_at <= MAX_RECOVERABLE_SILENCE_SECONDS
             for name, view in self._views.items()
         )
 
--- a/wasabidrum/entry/endpoint_table_test.py
+++ b/wasabidrum/entry/endpoint_table_test.py
@@ -44,7 +44,7 @@
 
     def fall_silent(self, seconds: float) -> None:
         """Makes the service's endpoint silent since the given number of seconds ago."""
-        self.table.find("tally-1").seen_at -= seconds
+        self.table.find("tally-1").heard_at -= seconds
 
     async def test_wait_ends_when_endpoint_is_heard_again(self) -> None:
         self.fall_silent(STATUS_EXPIRES_SECONDS + 0.1)
