--- a/wasabidrum/entry/caller_handler.py
+++ b/wasabidrum/entry/caller_handler.py
@@ -129,13 +129,13 @@
             seconds = min(int(milliseconds) / 1000.0, limits.largest_deadline_seconds)
         return make_caller_request(self.request_id, workspace, revision, seconds)
 
-    async def run(self, answer: typing.Callable[[], typing.Awaitable[None]]) -> None:
+    async def run(self, respond: typing.Callable[[], typing.Awaitable[None]]) -> None:
         """Runs the handler of a fully read request; it is cancelled if the caller disconnects."""
         self._body_timer.cancel()
         if self._refused:
             return
         self.body = b"".join(self._parts)
-        self.running = asyncio.ensure_future(answer())
+        self.running = asyncio.ensure_future(respond())
         try:
             with self.entry.requests.one():
                 await self.running
@@ -216,8 +216,8 @@
         Of an unexpected internal error it is unknown whether the request ran.
         """
         code = CODES_BY_STATUS.get(status_code, "internal_error")
-        foreseen = code != "internal_error"
-        outcome = Outcome.NOT_RUN if foreseen else Outcome.UNKNOWN
+        expected = code != "internal_error"
+        outcome = Outcome.NOT_RUN if expected else Outcome.UNKNOWN
         self.refuse(CodedError(code, self._reason, status_code, outcome))
         self.finish()
 
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -281,7 +281,7 @@
             if state.streaming and state.health.record_silence(
                 silent, pool.median_token_seconds, now
             ):
-                self._observer.eject(pool, state, f"silent for {silent:.1f} s")
+                self._observer.eject(pool, state, f"no tokens for {silent:.1f} s")
         for name, view in pool.views.items():
             if view.status is not None and view.status.suspects:
                 self._guard.record_reported(name, view.status.suspects, now)
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -113,7 +113,7 @@
         )
 
     def probe_seconds(self, now: float) -> float:
-        """Returns the seconds until the next probe of an unhealthy endpoint is due."""
+        """Returns the seconds until the earliest probe is due; zero if any endpoint is healthy."""
         waits = [state.health.probe_at - now for state in self.states.values()]
         return max(0.0, min(waits)) if waits else 0.0
 
