--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -16,7 +16,7 @@
 from wasabidrum.entry import daemon as entry_daemon
 from wasabidrum.entry.permit import Permit
 from wasabidrum.entry.placement import Placement
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 from wasabidrum.entry.work_item import WorkItem
 from wasabidrum.scripts import daemon
 
@@ -28,7 +28,7 @@
     return view.status.load.running + view.status.load.waiting
 
 
-class PlainTraffic(Traffic):
+class PlainTraffic(RequestScheduler):
     """Admits everything and places by one simple rule."""
 
     policy = os.environ.get(POLICY_VARIABLE, "no_admission")
@@ -40,7 +40,7 @@
 
     async def admit(self, item: WorkItem) -> Permit:
         """Lets the request run at once."""
-        self._room = InProgressLimit(10**9)
+        self._in_progress_limit = InProgressLimit(10**9)
         pool = self._pool(item)
         return Permit(self, pool, Ticket(item.request_id, "", 2, 1.0, 1.0, item.deadline), item)
 
@@ -53,7 +53,7 @@
         ]
         pool = self._pool(item)
         now = asyncio.get_running_loop().time()
-        pool.refresh_soon()
+        pool.invalidate()
         pool.refresh(self._table, now)
         if not views:
             raise CodedError("no_endpoint", "no endpoint can answer now", 503, retry_after=1.0)
@@ -78,5 +78,5 @@
 
 
 if __name__ == "__main__":
-    entry_daemon.Traffic = PlainTraffic
+    entry_daemon.RequestScheduler = PlainTraffic
     sys.exit(daemon.main())
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -21,7 +21,7 @@
 from wasabidrum.decisions import poison
 from wasabidrum.decisions.death_record import DeathRecord
 from wasabidrum.entry.endpoint_table import EndpointView
-from wasabidrum.entry.traffic import Traffic
+from wasabidrum.entry.request_scheduler import RequestScheduler
 from wasabidrum.entry.work_item import Priority, WorkItem
 from wasabidrum.observe.event_log import EventLog
 
@@ -161,7 +161,7 @@
         """See EndpointTable; engines that are not heard are not heard again."""
         return False
 
-    def take_status(self, status: Status) -> None:
+    def record_status(self, status: Status) -> None:
         """See EndpointTable."""
 
     def hear(self, lag: float = 0.0, lost: bool = False) -> None:
@@ -173,7 +173,7 @@
 
     def _take(self, view: EndpointView, status: Status) -> None:
         view.status = status
-        view.seen_at = asyncio.get_running_loop().time()
+        view.heard_at = asyncio.get_running_loop().time()
 
 
 @dataclasses.dataclass(slots=True)
@@ -213,7 +213,7 @@
         shares: dict[str, float] | None = None,
         data_centres: dict[str, str] | None = None,
         seed: int = 1,
-        make_traffic=Traffic,
+        make_traffic=RequestScheduler,
         limits: dict[str, float] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
@@ -291,7 +291,7 @@
         self.answers.append(answer)
         return answer
 
-    async def _serve(self, traffic: Traffic, item: WorkItem, answer: Answer) -> None:
+    async def _serve(self, traffic: RequestScheduler, item: WorkItem, answer: Answer) -> None:
         permit = await traffic.admit(item)
         tried: set[str] = set()
         try:
@@ -316,7 +316,7 @@
 
         def progressed(tokens: int) -> None:
             answer.first = answer.first or loop.time() - answer.began
-            placement.progressed(tokens)
+            placement.record_tokens(tokens)
 
         code = "cancelled"
         try:
@@ -326,7 +326,7 @@
             code = error.code
             raise
         finally:
-            placement.ended(code)
+            placement.end(code)
 
     async def arrive(self, per_second: float, seconds: float, **asked: object) -> None:
         """Has requests arrive at random times, whatever becomes of earlier ones."""
--- a/wasabidrum/entry/daemon.py
+++ b/wasabidrum/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: takes callers' requests and routes them to endpoints."""
+"""The entry daemon: accepts callers' requests and routes them to endpoints."""
 
 import asyncio
 
@@ -25,29 +25,30 @@
 from .endpoint_table import EndpointTable
 from .endpoint_watcher import EndpointWatcher
 from .model_call import ModelCaller
+from .request_scheduler import RequestScheduler
 from .service_call import ServiceCaller
-from .traffic import Traffic
 
-# How long a leaving entry still answers new requests, with a refusal that says so: a balancer
-# that has not noticed yet would otherwise turn them into resets that tell callers nothing.
+# How long a stopping entry still accepts connections and refuses requests with a proper error.
+# Until a load balancer notices, it keeps sending requests here; closing the port at once would
+# reset those connections and tell the callers nothing.
 LEAVING_NOTICE_SECONDS = 1.0
 
 
 class StatusHandler(web.RequestHandler):
-    """GET /internal/status."""
+    """Serves GET /internal/status."""
 
     def initialize(self, entry: "Entry") -> None:
-        """Takes the entry from the route."""
+        """Receives the entry from the route's arguments."""
         self.entry = entry
 
     def get(self) -> None:
-        """Answers with this daemon's own account of itself."""
+        """Responds with this daemon's current status."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.entry.status()))
 
 
 class Entry:
-    """Owns the entry's tasks and serves callers."""
+    """Wires up the parts of the entry daemon, starts them and shuts them down."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         self._settings = settings
@@ -68,7 +69,7 @@
             settings, directory, self.follower, self.status, log, self._report_failure
         )
         entries = EntryCounter(self.node.table, settings.name)
-        traffic = Traffic(
+        scheduler = RequestScheduler(
             self.table,
             log,
             self.follower,
@@ -76,17 +77,17 @@
             settings.data_centre,
             count_entries=entries.count,
         )
-        self._add_gauges(traffic)
-        self.node.on_pause.append(lambda seconds: traffic.record_pause())
-        self.models = ModelCaller(client, traffic, self.table, log)
-        self.services = ServiceCaller(client, traffic, self.table, log)
+        self._add_gauges(scheduler)
+        self.node.on_pause.append(lambda seconds: scheduler.record_pause())
+        self.models = ModelCaller(client, scheduler, self.table, log)
+        self.services = ServiceCaller(client, scheduler, self.table, log)
 
     async def start(self) -> None:
-        """Listens and starts the background tasks."""
-        given = {"entry": self}
+        """Starts the servers and the background tasks."""
+        handler_args = {"entry": self}
         internal = web.Application(
             [
-                (r"/internal/status", StatusHandler, given),
+                (r"/internal/status", StatusHandler, handler_args),
                 (r"/internal/control", ControlHandler, {"node": self.node}),
                 *make_routes(self.log),
             ],
@@ -114,7 +115,7 @@
             incarnation=self._incarnation,
         )
 
-    def _add_gauges(self, traffic: Traffic) -> None:
+    def _add_gauges(self, scheduler: RequestScheduler) -> None:
         add = self.log.metrics.add_gauge
         add("revision", "The configuration revision in force here.", lambda: self.follower.revision)
         add(
@@ -122,12 +123,12 @@
             "Requests of callers begun and not ended.",
             lambda: self.requests.count,
         )
-        add("requests_waiting", "Requests that wait for their turn.", lambda: traffic.waiting)
+        add("requests_waiting", "Requests that wait for their turn.", lambda: scheduler.waiting)
         add("endpoints_known", "Endpoints in this entry's table.", lambda: len(self.table.views))
         add("leaving", "One while this daemon takes no new work.", lambda: self.leaving)
 
     async def stop(self) -> None:
-        """Leaves gracefully: refuses new requests, ends those in progress, then stops."""
+        """Shuts down gracefully: refuses new requests, drains those in progress, then stops."""
         self.leaving = True
         self.node.wake_all()
         self.log.write(Event.DAEMON_LEAVING, in_progress=self.requests.count)
@@ -140,7 +141,7 @@
         self.log.write(Event.DAEMON_STOPPED, in_progress=self.requests.count)
 
     def status(self) -> Status:
-        """Returns this daemon's own account of itself."""
+        """Returns this daemon's current status, with the next sequence number."""
         self._sequence += 1
         current = self.follower.current
         return Status(
@@ -173,5 +174,5 @@
 
 
 def make_entry(settings: Settings, log: EventLog) -> Entry:
-    """Returns an entry that has not started."""
+    """Returns an entry that has not been started."""
     return Entry(settings, log)
