--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -35,7 +35,9 @@
         sampled = self._random.sample(candidates, min(SAMPLED_ENDPOINTS, len(candidates)))
         return self.issue_for(min(sampled, key=lambda view: view.in_progress), lifetime)
 
-    async def issue_when_heard(self, service: str, lifetime: float, deadline: float) -> IdempotencyKey:
+    async def issue_when_heard(
+        self, service: str, lifetime: float, deadline: float
+    ) -> IdempotencyKey:
         """Returns a key as issue does; if all endpoints are silent, waits until one is heard.
 
         Raises:
--- a/wasabidrum/gateway/placement.py
+++ b/wasabidrum/gateway/placement.py
@@ -163,7 +163,9 @@
         if figures is None:
             latest = seconds_until_disconnect * PLAIN_LATEST_FRACTION
         else:
-            latest = min(seconds_until_disconnect, route.target_latency * FIRST_EVENT_LIMIT_FRACTION)
+            latest = min(
+                seconds_until_disconnect, route.target_latency * FIRST_EVENT_LIMIT_FRACTION
+            )
         risky = route.kind is RouteKind.UNSAFE or not route.idempotent
         traffic = self.traffic(service)
         demand = Demand(
