--- a/wasabidrum/weights/__init__.py
+++ b/wasabidrum/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of weights: chunks between sidecars, and when a version comes into force."""
+"""Distribution of model weights: chunk transfer between sidecars, and rollout of versions."""
--- a/wasabidrum/weights/chunk_handler.py
+++ b/wasabidrum/weights/chunk_handler.py
@@ -1,4 +1,4 @@
-"""GET /internal/chunks/DIGEST: gives a chunk to a peer, as soon as it is here."""
+"""GET /internal/chunks/DIGEST: sends a chunk to a peer, as soon as it is in the store."""
 
 import asyncio
 import typing
@@ -13,34 +13,34 @@
     from .distributor import Distributor
 
 LARGEST_SLICE_BYTES = 65_536
-# A token that leaves the instance waits behind the slice that is on the link. Sent whole, a chunk
-# of 48 KiB holds a link of 4.7 Mbit/s for 84 ms; a slice of an eightieth of a second, for 13.
+# A token that leaves the instance waits for the slice that is on the link. A chunk of 48 KiB sent
+# in one piece occupies a link of 4.7 Mbit/s for 84 ms; a slice of an eightieth of a second, for 13.
 SLICE_SECONDS = 0.0125
 LONGEST_WAIT_SECONDS = 30.0
 SLICE_TIMEOUT_SECONDS = 5.0
 
 
 class ChunkHandler(web.RequestHandler):
-    """Answers with the chunk, or says after the wait what is known of it."""
+    """Responds with the chunk, or after the requested wait with its state."""
 
     def initialize(self, distributor: "Distributor") -> None:
-        """Takes the distributor from the route."""
+        """Stores the distributor passed by the route."""
         self.distributor = distributor
         self.closed = asyncio.Event()
         if headers.ASKER in self.request.headers:
             distributor.record_asked()
 
     def head(self, digest: str) -> None:
-        """Says what is known of the chunk, at once."""
+        """Responds at once with the chunk's state."""
         self.set_header(headers.CHUNK_STATE, self.state_of(digest).value)
 
     def state_of(self, digest: str) -> ChunkState:
-        """Returns the chunk's state, for an asker of some configuration revision."""
+        """Returns the chunk's state for the requester's configuration revision."""
         revision = self.request.headers.get(headers.REVISION, "0")
         return self.distributor.state_of(digest, int(revision))
 
     async def get(self, digest: str) -> None:
-        """Waits for the chunk and sends it at the rate of the link it goes over."""
+        """Waits for the chunk and sends it, paced by the links on its path."""
         store = self.distributor.store
         wait = min(float(self.get_query_argument("wait", "0")), LONGEST_WAIT_SECONDS)
         loop = asyncio.get_running_loop()
@@ -58,12 +58,12 @@
         await self.send(digest, content)
 
     async def send(self, digest: str, content: bytes) -> None:
-        """Sends a chunk in its reserved time."""
+        """Sends a chunk in slices within its reserved time."""
         loop = asyncio.get_running_loop()
         region = self.request.headers.get(headers.ASKER_REGION, "")
         rate = float(self.request.headers.get(headers.ASKER_RATE, "0"))
         reserved = self.distributor.pacer.reserve(region, len(content), rate)
-        # The asker is told when its turn comes, or it would take a wait in line for a stall.
+        # Announces the start time; otherwise the requester would take queueing for a stall.
         self.set_header(headers.CHUNK_STATE, ChunkState.HELD.value)
         self.set_header(headers.CHUNK_STARTS_IN, f"{reserved.start - loop.time():.3f}")
         self.set_header(headers.CHUNK_SECONDS, f"{reserved.seconds:.3f}")
@@ -77,12 +77,13 @@
             )
             size = -(-len(view) // count)
             for place, start in enumerate(range(0, len(view), size)):
-                # A slice goes when its bytes would have passed the link, not before.
+                # A slice is sent only when its bytes would have passed the link at that rate.
                 leaves = reserved.start + reserved.seconds * (place + 1) / count
                 if (delay := leaves - loop.time()) > 0:
                     await asyncio.sleep(delay)
                 self.write(bytes(view[start : start + size]))
-                # A receiver that stopped reading would hold this task, and its chunk, for ever.
+                # Without a timeout, a receiver that stops reading would keep this task and its
+                # chunk in memory forever.
                 await asyncio.wait_for(self.flush(), SLICE_TIMEOUT_SECONDS)
         except (iostream.StreamClosedError, TimeoutError):
             self.request.connection.close()
@@ -90,11 +91,11 @@
         self.distributor.record_sent(digest, region, len(content))
 
     def on_connection_close(self) -> None:
-        """Stops waiting for an asker that went away."""
+        """Ends the wait of a requester that has disconnected."""
         self.closed.set()
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answers without a body; the state is in the headers."""
+        """Responds to a failure without a body; the error code is in a header."""
         failure = kwargs.get("exc_info", (None, None))[1]
         if isinstance(failure, CodedError):
             self.set_header(headers.ERROR_CODE, failure.code)
--- a/wasabidrum/weights/chunk_state.py
+++ b/wasabidrum/weights/chunk_state.py
@@ -1,13 +1,13 @@
-"""What a sidecar says of a chunk that it was asked for."""
+"""The states of a chunk that a process reports to its peers."""
 
 import enum
 
 
 class ChunkState(enum.StrEnum):
-    """Why an answer carries the chunk or does not.
+    """The state of a chunk in a process.
 
-    COMING says that the sidecar waits for a peer, DRAWING that it draws from the origin
-    or brings the chunk in from another region, so that nobody else need do the same.
+    COMING means that the process expects the chunk, or may turn out to need it. DRAWING means that
+    it is fetching the chunk from the origin, so that no other process needs to do the same.
     """
 
     HELD = "held"
--- a/wasabidrum/weights/chunk_store.py
+++ b/wasabidrum/weights/chunk_store.py
@@ -1,4 +1,4 @@
-"""The bounded memory in which a sidecar holds chunks for its peers."""
+"""A bounded in-memory store of the chunks that a process serves to its peers."""
 
 import asyncio
 import collections.abc
@@ -7,7 +7,14 @@
 
 
 class ChunkStore:
-    """Holds verified chunks by digest, within a number of bytes."""
+    """Holds verified chunks by digest, up to a limit in bytes.
+
+    Attributes:
+      expected: The digests of the chunks that are being fetched or about to be.
+      drawing: The digests of the chunks that are being fetched from the origin.
+      undecided: Whether a version is wanted whose chunk list is not known yet, so that any chunk
+        may turn out to be expected.
+    """
 
     __slots__ = ("_limit", "_contents", "_held", "_wanted", "_waiters", "_bytes", "expected")
     __slots__ += ("drawing", "undecided")
@@ -21,26 +28,29 @@
         self._bytes = 0
         self.expected: set[str] = set()
         self.drawing: set[str] = set()
-        # True while a version is wanted whose list of chunks has not come yet: then any
-        # chunk may turn out to be expected.
         self.undecided = True
 
     @property
     def size(self) -> int:
-        """The bytes held now."""
+        """The size of all held chunks in bytes."""
         return self._bytes
 
     @property
     def count(self) -> int:
-        """The chunks held now."""
+        """The number of held chunks."""
         return len(self._held)
 
     def get(self, digest: str) -> bytes | None:
-        """Returns a chunk, or None where it is not held."""
+        """Returns a chunk, or None if it is not held."""
         return self._contents.get(digest)
 
     def add(self, digest: str, content: bytes, rank: int = 0, serves: int = 0) -> None:
-        """Takes a verified chunk, and gives up others where there is no room."""
+        """Adds a verified chunk, and evicts others if the limit is exceeded.
+
+        Args:
+          rank: This process's rank among the instances that should keep the chunk.
+          serves: The number of peers that are expected to fetch it from here.
+        """
         if digest not in self._held and len(content) <= self._limit:
             self._held[digest] = HeldChunk(
                 digest, len(content), rank, digest in self._wanted, serves
@@ -52,33 +62,33 @@
         self.wake(digest)
 
     def want(self, digests: collections.abc.Iterable[str]) -> None:
-        """Takes which chunks belong to a version in force or wanted."""
+        """Sets which chunks belong to an active or wanted version."""
         self._wanted = frozenset(digests)
         for held in self._held.values():
             held.wanted = held.digest in self._wanted
 
     def is_wanted(self, digest: str) -> bool:
-        """Returns whether a chunk belongs to a version in force or wanted."""
+        """Returns whether a chunk belongs to an active or wanted version."""
         return digest in self._wanted
 
     def record_served(self, digest: str) -> None:
-        """Records that one peer has fetched a chunk."""
+        """Records that a peer has fetched a chunk."""
         if held := self._held.get(digest):
             held.pending_children -= 1
 
     def wake(self, digest: str) -> None:
-        """Has those who wait for a chunk look again."""
+        """Wakes all waiters for a chunk."""
         for waiter in self._waiters.pop(digest, ()):
             if not waiter.done():
                 waiter.set_result(None)
 
     def wake_all(self) -> None:
-        """Has everyone who waits look again, because what is expected has changed."""
+        """Wakes all waiters, because the expected chunks have changed."""
         for digest in list(self._waiters):
             self.wake(digest)
 
     async def wait(self, digest: str, seconds: float) -> None:
-        """Waits until something changes about a chunk, at most some seconds."""
+        """Waits until a chunk's state may have changed, or the time is over."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiters = self._waiters.setdefault(digest, set())
         waiters.add(waiter)
--- a/wasabidrum/weights/clock_guard.py
+++ b/wasabidrum/weights/clock_guard.py
@@ -1,10 +1,9 @@
-"""Notices that this process was stopped for a while, before it gives an order.
+"""Detects that this process was suspended, before it sends a command to its engine.
 
-A process that was paused, or whose instance was suspended, wakes believing what was true
-before. Without this check a sidecar that slept through a change of version would order its
-engine back to the old one, and operators would see an accepted configuration revert on one
-instance. An engine that checks fencing numbers refuses such an order; for the others the process
-itself must know.
+A process that was paused, or whose instance was suspended, resumes with stale state. Without this
+check a sidecar that was suspended during a version change would switch its engine back to the old
+version, and operators would see an accepted configuration revert on one instance. An engine that
+checks fencing tokens rejects such a command; for other engines the process must detect it itself.
 """
 
 import asyncio
@@ -23,7 +22,7 @@
 
 
 class ClockGuard:
-    """Compares a clock that a suspension does not stop with when this process last ran."""
+    """Compares the time since this process last ran, on a clock that counts suspensions."""
 
     __slots__ = ("_service", "_ask_peers", "_follower", "_log")
     __slots__ += ("_last", "_pauses", "_confirmed_pauses")
@@ -44,15 +43,16 @@
         self._confirmed_pauses = 0
 
     async def run(self) -> None:
-        """Notes for ever that this process runs."""
+        """Records forever, at short intervals, that this process is running."""
         while True:
             self.look()
             await asyncio.sleep(TICK_SECONDS)
 
     def look(self) -> bool:
-        """Returns whether this process woke late and has not read the configuration since."""
-        # The event loop's clock shows no gap after a suspension, and the sidecar would order what
-        # operators took back meanwhile.
+        """Returns whether this process was suspended and has not confirmed its configuration
+        since."""
+        # The event loop's clock shows no gap after a suspension. Measured by it, the sidecar would
+        # miss the suspension and send commands that operators have revoked meanwhile.
         now = awake_seconds()
         if self._last is not None and now - self._last > LONGEST_GAP_SECONDS:
             self._pauses += 1
@@ -61,11 +61,11 @@
         return self._pauses > self._confirmed_pauses
 
     async def confirm(self) -> None:
-        """Returns once this process has in force the newest revision that anyone tells of.
+        """Returns once this process has the newest revision that any source reports.
 
-        The service may be stale or down for a long time, and peers may be cut off, so both
-        are asked: either alone would order from an old revision that the other could have
-        corrected, or leave the engine without orders until the service is back.
+        The configuration service may be stale or down for a long time, and peers may be cut off,
+        so both are asked. With one source alone, the sidecar could act on an old revision that
+        the other would have corrected, or send its engine no commands until that source is back.
         """
         while self.look():
             pauses = self._pauses
@@ -76,7 +76,7 @@
             except CodedError as error:
                 self._log.write(Event.CONFIGURATION_UNREACHABLE, reason=str(error))
             if told and not self._follower.book.is_behind:
-                # Only the pauses before the questions are settled by their answers.
+                # The answers cover only suspensions that were detected before the requests.
                 self._confirmed_pauses = pauses
             else:
                 await asyncio.sleep(PAUSE_SECONDS)
--- a/wasabidrum/weights/clock_guard_test.py
+++ b/wasabidrum/weights/clock_guard_test.py
@@ -1,4 +1,4 @@
-"""Tests of a process that wakes late, before it orders its engine."""
+"""Tests of a process that resumes after a suspension and then commands its engine."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 
 class FakeService:
-    """A configuration service with one value, or none where it is down."""
+    """A configuration service with one value; revision 0 stands for a service that is down."""
 
     def __init__(self, revision: int) -> None:
         self.revision = revision
@@ -34,10 +34,10 @@
 
 
 class ClockGuardTest(unittest.IsolatedAsyncioTestCase):
-    """A process that slept orders nothing until it knows what is in force."""
+    """A process that was suspended sends no command before it knows the newest revision."""
 
     def make(self, revision: int, peers_tell: int) -> clock_guard.ClockGuard:
-        """Returns the guard of a process with revision 3 that has just slept."""
+        """Returns the guard of a process that has just been suspended."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         service = FakeService(revision)
         self.follower = ConfigurationFollower(service, "site", log)
@@ -55,28 +55,28 @@
         return guard
 
     async def confirm(self, revision: int, peers_tell: int) -> None:
-        """Has a process wake and confirm; fails where that does not end."""
+        """Runs `confirm` in a process with revision 3; fails if it does not return."""
         guard = self.make(revision, peers_tell)
         await self.follower.offer(ConfigValue(3, digest_of(VALUE), VALUE))
         await asyncio.wait_for(guard.confirm(), PATIENCE_SECONDS)
 
     async def test_the_service_is_stale(self) -> None:
-        """A sidecar sleeps through revision 5 and wakes while the service answers with an old
-        copy. Trusting that answer, it would order its engine back to the version before, and
-        operators would see one instance revert; its peers know better."""
+        """A sidecar is suspended during revision 5 and resumes while the service returns an old
+        copy. If it trusted that copy, it would switch its engine back to the previous version;
+        its peers know the newer revision."""
         await self.confirm(revision=2, peers_tell=5)
         self.assertEqual(self.follower.revision, 5)
 
     async def test_the_service_is_down(self) -> None:
-        """A sidecar wakes while the service is down for an hour. Waiting for it, its engine
-        would miss every version that its peers have long had."""
+        """A sidecar resumes while the service is down for an hour. If it waited for the service,
+        its engine would miss the versions that its peers already have."""
         await self.confirm(revision=0, peers_tell=5)
         self.assertEqual(self.follower.revision, 5)
 
     async def test_the_instance_was_suspended(self) -> None:
-        """An instance is suspended through revision 5, by a clock that does not count that
-        time. Its sidecar finds no gap, and orders from revision 3 an engine that takes any
-        order: callers there are answered by a version that operators have taken back."""
+        """An instance is suspended during revision 5. By a clock that does not count suspensions
+        its sidecar sees no gap and commands, from revision 3, an engine without fencing: callers
+        are served by a version that operators have withdrawn."""
         guard = self.make(revision=5, peers_tell=0)
         guard._last = None
         guard.look()
@@ -86,7 +86,8 @@
         self.assertEqual(self.follower.revision, 5)
 
     async def test_nobody_answers(self) -> None:
-        """A sidecar wakes alone. It must not order from what it believed before."""
+        """A sidecar resumes and reaches neither service nor peers. It must not act on its old
+        state."""
         with self.assertRaises(TimeoutError):
             guard = self.make(revision=0, peers_tell=0)
             await asyncio.wait_for(guard.confirm(), 1.2)
--- a/wasabidrum/weights/deployed_settings.py
+++ b/wasabidrum/weights/deployed_settings.py
@@ -1,11 +1,11 @@
-"""What the distribution of weights needs to know of a process that the platform has started."""
+"""Weight distribution settings of a process that the platform has started."""
 
 import typing
 
 from ..config.deployment import Deployment
 from ..config.settings import PlatformSettings, Settings
 
-# Two versions of some megabytes, the one in force and the one on its way, with room for growth.
+# Room for two versions of some megabytes each, the active one and the next, with a reserve.
 CHUNK_MEMORY_BYTES = 16 * 1_048_576
 
 
@@ -14,7 +14,7 @@
 ) -> Settings:
     """Returns the settings of one process.
 
-    Members are named by their host: it is what the platform lists of each, the same to all.
+    Members are named by their host, which the platform lists identically for all processes.
     """
     unused = PlatformSettings(configuration="", instances="", origin="")
     return Settings(
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -1,4 +1,4 @@
-"""Gets the chunks of a version for one sidecar, and gives them to its peers."""
+"""Fetches the chunks of a version for one process and serves them to its peers."""
 
 import asyncio
 import collections.abc
@@ -23,30 +23,38 @@
 from .peer_asker import ASK_WAIT_SECONDS, PeerAsker
 from .transfer_counts import TransferCounts
 
-# A sidecar that nobody has asked yet stands last in its own eyes and waits for its peers. They may
-# have known it all the while, and wait for what the plan has it draw: as soon as one asks, it must
-# look again, or each waits for the other until the longer wait is over.
+# A sidecar that has received no request yet assumes that peers don't know it, ranks itself last and
+# waits for its peers. They may know it after all and wait for the chunks that the plan assigns to
+# it. It therefore waits only briefly before it checks again; otherwise each would wait for the
+# other until the longer wait ends.
 UNKNOWN_WAIT_SECONDS = 0.5
 WAITS_BEFORE_OTHERS = 4
 PROBE_ROUNDS_WHEN_SPREAD = 4
 KNOWN_WITHIN_SECONDS = 1.0
-# Between two draws that fail. An origin that is gone costs a refused connection a try; each second
-# that passes between its return and the next try is one in which no engine has the version.
+# Pause between failed fetches from the origin. A try at an origin that is down costs one refused
+# connection; each second between its return and the next try delays the version on all engines.
 FIRST_PAUSE_SECONDS = 0.25
 LONGEST_PAUSE_SECONDS = 0.75
-# How often a sidecar whose own link is narrow lets others draw a chunk, before it does so itself.
-# They notice within two seconds that they wait for it, and what it draws besides costs the origin
-# a chunk and takes its link from what they send it.
+# Rounds in which a sidecar that suspects its own link leaves a chunk to its peers before it fetches
+# the chunk from the origin itself. Peers notice within two seconds that they wait for it. A second
+# fetch would cost the origin one more copy and compete with what peers send over the same link.
 ROUNDS_IN_DOUBT = 3
-# Chunks asked of relays at once. A relay's link is wider than the asker's, so that the asker says
-# how fast it may send; requests to the engine would wait behind the chunks otherwise.
+# Concurrent requests to relays. A relay's link is wider than the requester's, so the requester sets
+# the rate; otherwise requests to its engine would queue behind the chunks.
 RELAY_ASKS_AT_ONCE = 4
-# Chunks asked of other peers at once. Most of these wait for the peer to get the chunk.
+# Concurrent requests to other peers. Most of them wait until the peer has the chunk itself.
 ASKS_AT_ONCE = 12
 
 
 class Distributor:
-    """One sidecar's part in the distribution: its store, its evidence and its requests."""
+    """One process's part in the distribution: its chunk store, peer health and requests.
+
+    Attributes:
+      hears_late: Whether requesters may learn of a version before this process does. A chunk of no
+        known version is then reported as coming; if it were reported as lacking, requesters would
+        skip this process for seconds.
+      spread: Whether the version is known to be active on some engine, so that peers hold it.
+    """
 
     __slots__ = ("_settings", "_origin", "_log", "asker", "store", "pacer", "counts")
     __slots__ += ("spread", "hears_late", "_asked", "_begun_at", "_one_at_a_time")
@@ -68,10 +76,7 @@
         self.pacer = LinkPacer(settings.region, settings.link_mbit, in_progress)
         self.counts = TransferCounts()
         self.asker = PeerAsker(settings, membership, client, self.counts, log)
-        # Whether a chunk of no known version is taken for one of a version that is heard of later
-        # here than at those who ask; refused, they would pass this process over for seconds.
         self.hears_late = False
-        # Whether the version is known to be in force somewhere, so that peers hold it.
         self.spread = False
         self._asked = asyncio.Event()
         self._begun_at = 0.0
@@ -80,7 +85,7 @@
 
     @property
     def late_seconds(self) -> float:
-        """How late the last chunk of a peer was whole, beyond the time that it took to send."""
+        """How many seconds later than expected the last chunk from a peer was complete."""
         return self.asker.late_seconds
 
     @property
@@ -88,13 +93,13 @@
         return self._settings.role == "sidecar"
 
     def state_of(self, digest: str, asker_revision: int = 0) -> ChunkState:
-        """Returns what this sidecar can say of a chunk."""
+        """Returns the state of a chunk in this process."""
         if self.store.get(digest) is not None:
             return ChunkState.HELD
         if digest in self.store.drawing:
             return ChunkState.DRAWING
-        # An asker whose configuration is newer may want what this one will want in a moment.
-        # To deny it here would send the asker to the origin for what is about to come.
+        # A requester with a newer configuration may need a chunk that this process will need in a
+        # moment. LACKING would send it to the origin for a chunk that is about to arrive here.
         behind = asker_revision > self.asker.revision
         newer = self.hears_late and not self.store.is_wanted(digest)
         if digest in self.store.expected or self.store.undecided or behind or newer:
@@ -102,7 +107,7 @@
         return ChunkState.LACKING
 
     def record_sent(self, digest: str, region: str, size: int) -> None:
-        """Records that a peer has got a chunk from here."""
+        """Records that a chunk was sent to a peer."""
         self.store.record_served(digest)
         if region == self._settings.region:
             self.counts.to_own_region += size
@@ -110,7 +115,7 @@
             self.counts.to_other_regions += size
 
     def share_link(self, plan: ChunkPlan) -> None:
-        """Takes this sidecar's part of its region's thin link, by the carriers alive now."""
+        """Sets this process's share of the link between regions from the usable carriers."""
         region = plan.regions.get(self._settings.region)
         if region is None:
             return
@@ -122,21 +127,22 @@
             if name == self._settings.name
             or (name in members and not self.asker.evidence.is_skipped(name, now))
         ]
-        # A stand-in for dead carriers is one of all, so all together keep within one share.
+        # Any member may stand in for dead carriers, so each takes a share small enough that all
+        # members together stay within the link's limit.
         mine = self._settings.name in region.carriers
         self.pacer.senders = len(carriers) if mine else len(region.names)
 
     def is_carrier(self, plan: ChunkPlan, index: int) -> bool:
-        """Returns whether the plan names this sidecar to bring a chunk into its region."""
+        """Returns whether the plan assigns this process to bring a chunk into its region."""
         region = plan.regions.get(self._settings.region)
         return region is not None and region.carrier(index) == self._settings.name
 
     def is_first_region(self, plan: ChunkPlan, index: int) -> bool:
-        """Returns whether the plan has this sidecar's region draw a chunk from the origin."""
+        """Returns whether the plan assigns this region to fetch a chunk from the origin."""
         return plan.region_order(index)[0] == self._settings.region
 
     def asks_at_once(self, plan: ChunkPlan) -> int:
-        """Returns for how many chunks this instance asks its peers at once."""
+        """Returns the limit of concurrent chunk requests to peers."""
         region = plan.regions.get(self._settings.region)
         relays = region.relays if region is not None else ()
         now = self._now()
@@ -149,7 +155,7 @@
         return ASKS_AT_ONCE
 
     async def fetch(self, plan: ChunkPlan, digest: str) -> bytes:
-        """Returns a verified chunk, from the store, a peer or the origin, whatever it takes."""
+        """Returns a verified chunk from the store, a peer or the origin; retries until it can."""
         waits = rounds = 0
         while (content := self.store.get(digest)) is None:
             index = plan.index_of(digest)
@@ -161,8 +167,8 @@
                 waits += 1
                 stuck = waits % WAITS_BEFORE_OTHERS == 0
                 if state is ChunkState.LACKING or (state is ChunkState.COMING and stuck):
-                    # One that waits for ever is passed over as well, for its own way to
-                    # the chunk may be cut while another way is open.
+                    # A peer that only waits itself is skipped too, because its path to the chunk
+                    # may be cut while another path works.
                     self.asker.evidence.record_lack(step.peer, digest, self._now())
             else:
                 content = await self._bring_in(plan, index, digest, step, rounds)
@@ -173,20 +179,20 @@
         return content
 
     def begin(self) -> None:
-        """Takes that another version is wanted from now on."""
+        """Resets the state that belongs to the previous target version."""
         self._asked.clear()
         self._begun_at = self._now()
 
     def record_asked(self) -> None:
-        """Records that a peer asked for something here, so that peers know of this sidecar."""
+        """Records a peer's request, which shows that peers know this process."""
         self._asked.set()
 
     def avoided_names(self) -> list[str]:
-        """Returns the peers passed over now."""
+        """Returns the peers that are currently skipped."""
         return self.asker.evidence.skipped_names(self._now())
 
     def _inbound_rate(self, peer: str) -> float:
-        """Returns the bytes a second that a peer may send here; zero where it knows itself."""
+        """Returns the rate limit in bytes per second for a peer; zero leaves it to the peer."""
         pace = self.asker.pace
         if self._yields():
             return pace.rate
@@ -196,7 +202,7 @@
 
     @contextlib.asynccontextmanager
     async def _turn(self) -> collections.abc.AsyncIterator[None]:
-        """Has chunks come one at a time over a narrow link that requests need."""
+        """Serializes chunk requests while a narrow link is needed for requests to the engine."""
         if not self._yields():
             yield
             return
@@ -204,15 +210,15 @@
             yield
 
     def _yields(self) -> bool:
-        """Returns whether weights leave a narrow link to the requests of the engine beside it."""
+        """Returns whether weights yield a narrow link to requests for the local engine."""
         return self._beside_engine and self.asker.pace.narrow and self._in_progress() > 0
 
     def _patience(self) -> float:
-        """Returns how long to wait at a peer for a chunk that it expects, in seconds."""
+        """Returns how many seconds a peer may hold a request for a chunk that it expects."""
         return ASK_WAIT_SECONDS if self._known() else UNKNOWN_WAIT_SECONDS
 
     def _known(self) -> bool:
-        """Returns whether peers know of this sidecar, as far as it can tell."""
+        """Returns whether peers are assumed to know this process."""
         return self._asked.is_set() or self._now() < self._begun_at + KNOWN_WITHIN_SECONDS
 
     def _now(self) -> float:
@@ -220,8 +226,8 @@
 
     def _asker(self, members: dict[str, MemberView]) -> Requester:
         name = self._settings.name
-        # Nobody finds an instance that the lists of others lack. What it drew nobody would
-        # ask it for, and others would draw the same once more; so it stands last.
+        # Peers whose lists lack this instance would not request the chunks that it fetched from the
+        # origin, and would fetch them again. It therefore ranks last until peers know it.
         return Requester(name, self._settings.region, self._known())
 
     def _usable(
@@ -266,7 +272,7 @@
     async def _bring_in(
         self, plan: ChunkPlan, index: int, digest: str, step: FetchStep, rounds: int
     ) -> bytes | None:
-        """Brings a chunk in where nobody ahead can give it; None means to look again."""
+        """Fetches a chunk that no peer ahead can provide; None means to find the next step anew."""
         plain = self._settings.weights_from != "peers"
         if not plain:
             await self._wait_before_draw(plan, step, rounds)
@@ -298,7 +304,8 @@
         return content
 
     async def _wait_before_draw(self, plan: ChunkPlan, step: FetchStep, rounds: int) -> None:
-        """Waits for the peers behind this one to ask, which shows that they know of it."""
+        """Waits before a fetch from the origin, first for a request that shows that peers know
+        this process, then for its delay in the plan's order."""
         alone = sum(len(region.names) for region in plan.regions.values()) == 1
         patience = self._begun_at + KNOWN_WITHIN_SECONDS - self._now()
         if not alone and not self._asked.is_set() and patience > 0:
@@ -309,18 +316,23 @@
         if self._asked.is_set():
             await asyncio.sleep(step.delay)
         else:
-            # Once for the version and not for each chunk, or a fleet of which only this one
-            # is left would wait for every chunk anew.
+            # The wait is counted from the start of the version, not for each chunk; otherwise the
+            # only process left of a fleet would wait again for every chunk.
             late = self._begun_at + chunk_source_choice.MAX_ORIGIN_DELAY_SECONDS - self._now()
             await asyncio.sleep(max(0.0, min(late, step.delay)))
 
     async def _ask_holders(
         self, plan: ChunkPlan, index: int, digest: str, rounds: int
     ) -> tuple[bool, bytes | None]:
-        """Looks for a peer that holds the chunk or draws it now, and asks that one."""
+        """Probes for a peer that holds the chunk or is fetching it, and requests it there.
+
+        Returns:
+          Whether such a peer was found, and the content if it sent it.
+        """
         members = self.asker.members()
         asker = self._asker(members)
-        # A peer that lacked the chunk a moment ago may have it by now; probes are cheap.
+        # Includes peers that lacked the chunk a moment ago: they may have it now, and probes are
+        # cheap.
         now = self._now()
         names = chunk_source_choice.choose_probes(
             plan,
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -1,4 +1,4 @@
-"""How sidecars wait for each other."""
+"""Tests of waiting between sidecars, narrow links, and chunks of unknown versions."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 
 class FixedOrigin:
-    """Gives the chunk at once."""
+    """Returns the chunk at once."""
 
     async def fetch(self, digest: str) -> bytes:
         """See BlobSource."""
@@ -42,7 +42,7 @@
 
 
 class DirectPeers:
-    """Asks another distributor in this process."""
+    """Requests chunks from other distributors in this process."""
 
     def __init__(self, fleet: dict[str, Distributor]) -> None:
         self._fleet = fleet
@@ -67,12 +67,12 @@
 
 
 def make_instance(name: str) -> Instance:
-    """Returns a sidecar on a host of its own name."""
+    """Returns a sidecar whose host has the same name."""
     return Instance(name, InstanceRole.SIDECAR, "r", "r", name, 1, 2)
 
 
 def make_distributor(name: str, in_progress: int = 0) -> Distributor:
-    """Returns a distributor that has not begun, beside an engine with some requests."""
+    """Returns a distributor whose engine has some requests in progress."""
     settings = Settings(
         name=name,
         role="sidecar",
@@ -87,15 +87,15 @@
 
 
 class WaitTest(unittest.IsolatedAsyncioTestCase):
-    """Two sidecars, of which the plan has one draw the chunk."""
+    """Two sidecars, one of which the plan assigns to fetch the chunk from the origin."""
 
     async def test_one_that_restarts_and_one_that_waits_for_it_do_not_wait_for_each_other(
         self,
     ) -> None:
-        """A sidecar is killed while a version spreads, and starts again. Nobody asks it for a
-        second, so that it takes itself for unknown and waits for its peer; the peer waits for
-        what the plan has the first one draw. For three seconds neither does anything, and
-        everyone behind them misses one chunk."""
+        """A sidecar restarts during a distribution and receives no request for a second. It assumes
+        that peers don't know it and waits for its peer, which waits for the chunk that the plan
+        assigns to the first. For three seconds neither makes progress, and all behind them lack
+        one chunk."""
         plan = ChunkPlan("root", (DIGEST,), {"a": "r", "b": "r"})
         first, second = plan.regions["r"].order(0)
         fleet = {name: make_distributor(name) for name in ("a", "b")}
@@ -109,7 +109,7 @@
             await asyncio.sleep(seconds)
             return await fleet[name].fetch(plan, DIGEST)
 
-        # The one that the plan names begins when nobody has asked it for a second.
+        # The assigned sidecar starts after one second without a request.
         contents = await asyncio.gather(wait_then_fetch(first, 1.05), wait_then_fetch(second, 1.2))
         self.assertEqual(contents, [CONTENT, CONTENT])
         self.assertLess(asyncio.get_running_loop().time() - began, 3.0)
@@ -117,7 +117,7 @@
 
 
 class CountingPeers:
-    """Gives chunks after a while, and counts how many are under way."""
+    """Returns chunks after a short delay and counts concurrent requests."""
 
     def __init__(self, contents: dict[str, bytes]) -> None:
         self.at_once = 0
@@ -145,10 +145,10 @@
 
 
 class NarrowLinkTest(unittest.IsolatedAsyncioTestCase):
-    """A sidecar whose link has turned out narrow."""
+    """A sidecar whose link has been measured as narrow."""
 
     async def fetch_all(self, in_progress: int) -> CountingPeers:
-        """Fetches twelve chunks at once beside an engine with some requests."""
+        """Fetches twelve chunks at once while the engine has some requests in progress."""
         contents = {digest_of(bytes([n])): bytes([n]) for n in range(12)}
         plan = ChunkPlan("root", tuple(contents), {"a": "r", "b": "r"})
         distributor = make_distributor("a", in_progress)
@@ -161,24 +161,24 @@
         return peers
 
     async def test_weights_leave_a_narrow_link_to_requests(self) -> None:
-        """Guards against requests that lie behind chunks until their callers have left."""
+        """Guards against requests that queue behind chunks until their callers give up."""
         peers = await self.fetch_all(in_progress=3)
         self.assertEqual(peers.at_once, 1)
         self.assertLess(min(peers.rates), 100_000.0)
 
     async def test_weights_take_all_of_a_link_that_no_request_needs(self) -> None:
-        """Guards against an engine without weights that gets them slowly for nobody's good."""
+        """Guards against throttled weights on a link that carries no requests."""
         peers = await self.fetch_all(in_progress=0)
         self.assertEqual(peers.at_once, 12)
         self.assertGreater(min(peers.rates), 1_000_000.0)
 
 
 class UnknownChunkTest(unittest.IsolatedAsyncioTestCase):
-    """An entry that is asked for a chunk of a version that it has not heard of."""
+    """An entry receives a request for a chunk of a version that it does not know yet."""
 
     async def test_whoever_asks_is_kept_waiting_and_does_not_pass_the_entry_over(self) -> None:
-        """Told that the entry lacks the chunk, sidecars ask elsewhere for four seconds, and draw
-        from the origin what the entry is about to draw."""
+        """If the entry answered that it lacks the chunk, sidecars would skip it for four seconds
+        and fetch from the origin what the entry is about to fetch."""
         relay = make_distributor("a")
         relay.store.undecided = False
         self.assertIs(relay.state_of(DIGEST), ChunkState.LACKING)
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the engine beside a sidecar at the version that operators have named."""
+"""Keeps the local engine at the version that operators have published."""
 
 import asyncio
 import contextlib
@@ -23,30 +23,29 @@
 from .shared_readings import SharedReadings, VersionReading
 from .staged_version import StagedVersion
 
-# How often the engine beside this process is asked; it answers without leaving the instance.
+# Interval between reports; the engine runs on the same instance.
 REPORT_SECONDS = 0.15
-# Between two tries after a failure: short beside the seconds that a version may take.
+# Pause after a failure, short compared with the seconds that a version may take.
 PAUSE_SECONDS = 0.3
-# What an engine may take after an order, before it is looked at anew: what runs there ends
-# first, and a run lasts for some seconds at most.
+# How long an engine may take to load after a command before the work starts again. It finishes its
+# running requests first, which last some seconds at most.
 LOAD_SECONDS = 7.0
 MOST_VERIFICATIONS = 5
-# For how long staged weights are believed after the reading back began. It is a millisecond or
-# so for each piece on the same instance; where it takes longer than this, the process or its
-# instance most likely stood still.
+# Longest verification whose result is trusted. Reading back takes about a millisecond per piece on
+# the same instance; if it takes longer than this, the process was most likely suspended meanwhile.
 FRESH_SECONDS = 2.0
-# How often it is looked whether another version is to be brought first.
+# Interval at which the choice of the version to stage is reconsidered.
 LOOK_SECONDS = 0.25
-# The version on its way, and the one that was set aside for it.
+# The version being staged, and the one that was set aside for it.
 VERSIONS_KNOWN = 2
 
 
 class EngineController:
-    """Owns the orders to one engine; one piece of work at a time.
+    """Controls one engine; works on one version at a time.
 
     Attributes:
-      report: The engine's last account of itself, or None while it does not answer.
-      switching: An order was given and the engine has not finished it.
+      report: The engine's latest report, or None while it does not answer.
+      switching: Whether the engine is loading a version, or drains because it will do so soon.
       retirement: Until when entries place requests on weights that were replaced.
     """
 
@@ -60,7 +59,11 @@
         bound: float,
         log: EventLog,
     ) -> None:
-        """Takes the seconds from a version's naming until older ones must not answer."""
+        """Creates a controller.
+
+        Args:
+          bound: Seconds after a version is published until which older versions may serve.
+        """
         self._engine = engine
         self._origin = origin
         self._distributor = distributor
@@ -73,7 +76,7 @@
         self._bringing = 0
         self._accepted = 0
         self._awaits_turn = False
-        # When the work for a version began, and when something of it moved on last.
+        # When the work for the current version began and when it last made progress.
         self._begun_at = 0.0
         self._moved_at = 0.0
         self.report: EngineReport | None = None
@@ -84,7 +87,7 @@
         listed.on_relays = self._take_relays
 
     async def watch(self) -> None:
-        """Reads the engine's report for ever."""
+        """Polls the engine's report, forever."""
         lost = False
         while True:
             try:
@@ -101,7 +104,7 @@
             await asyncio.sleep(REPORT_SECONDS)
 
     async def run(self) -> None:
-        """Brings each wanted version about, for ever."""
+        """Stages and activates each published version, forever."""
         choice = VersionChoice()
         store = self._distributor.store
         while True:
@@ -110,7 +113,7 @@
             work = asyncio.ensure_future(self._keep(version))
             try:
                 while not work.done() and self._choose(choice) == version:
-                    # Peers may ask for pieces of the newer version, whose list is not here yet.
+                    # Peers may request pieces of a newer version, whose list is not known yet.
                     store.undecided = store.undecided or version != self._listed.wanted
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(
@@ -120,9 +123,9 @@
                 work.cancel()
                 (error,) = await asyncio.gather(work, return_exceptions=True)
                 if isinstance(error, Exception):
-                    # Whatever went wrong, the engine must not be left with nobody at work.
+                    # Any error is survived; the engine would receive no further version otherwise.
                     self._tell(version, repr(error))
-                # Peers must not wait here for pieces that nobody fetches any more.
+                # Peers must not wait here for pieces that are no longer being fetched.
                 store.expected = set()
                 store.wake_all()
 
@@ -166,11 +169,11 @@
         version = self._bringing = staged.version
         if self.report is None or self.report.weights == version:
             return
-        # After a restart of this process its engine may still load what was ordered before.
+        # After a restart of this process its engine may still be loading an earlier command.
         if self.report.busy and not self._accepted:
             return
-        # Others leave it out of their plans. What it drew from the origin nobody would ask it
-        # for; the origin may go away before anyone else has drawn it.
+        # Peers leave a leaving instance out of their plans and would not request the chunks that it
+        # fetched; the origin may fail before another instance has fetched them.
         if self._listed.leaving:
             return
         self._take_holders()
@@ -190,7 +193,7 @@
             self._set_switching(False)
 
     async def _end_runs_early(self, staged: StagedVersion) -> None:
-        """Has entries place nothing more here shortly before a version is complete."""
+        """Makes entries stop placing requests here shortly before a version is complete."""
         answering = self._listed.answering
         turn = turn_of(staged.version, self._listed.own, answering)
         if not self._listed.named_for(staged.version) or self._listed.own not in answering:
@@ -202,15 +205,16 @@
             await asyncio.sleep(REPORT_SECONDS)
         self._set_switching(True)
         await asyncio.sleep(2.0 * EARLY_DRAIN_SECONDS)
-        # The weights have stalled meanwhile; others may be as badly off.
+        # The download has stalled and may have stalled on other engines too, so this engine accepts
+        # requests again.
         if staged.share < 1.0:
             self._set_switching(False)
 
     async def _retire_old_weights(self, staged: StagedVersion) -> None:
-        """Has the engine hold a layer of a version instead of the one that it replaces.
+        """Unloads expired weights by having the engine load a single layer of the new version.
 
-        One layer answers nothing, and is loaded in a moment. Requests for the old weights that are
-        still on their way are refused by the engine.
+        An engine with a single layer serves no requests, and loads it in a moment. It then rejects
+        requests for the old weights that are still in flight.
         """
         while True:
             await asyncio.sleep(REPORT_SECONDS)
@@ -220,13 +224,13 @@
             if not self.retirement.is_due(report.weights, awake_seconds()):
                 continue
             layer = staged.complete_layer(self._listed.layers)
-            # What is complete is about to be ordered as a whole.
+            # A complete version is about to be loaded as a whole.
             if layer is None or staged.share >= 1.0:
                 continue
             try:
                 await self._order_layer(staged, layer)
             except CodedError as error:
-                self._tell(staged.version, f"old weights stay: {error}")
+                self._tell(staged.version, f"old weights not unloaded: {error}")
 
     async def _order_layer(self, staged: StagedVersion, layer: int) -> None:
         version = staged.version
@@ -241,7 +245,7 @@
             self.on_report()
 
     async def _wait_for_turn(self, version: int) -> None:
-        """Waits while other engines load a version and this one still answers."""
+        """Waits for this engine's turn to load, while it still serves and others load."""
         if self.report is None or not self.report.weights:
             return
         turn = turn_of(version, self._listed.own, self._listed.answering)
@@ -255,11 +259,11 @@
             await asyncio.sleep(seconds)
         finally:
             self._awaits_turn = False
-            # What had to wait has not stalled.
+            # The time spent waiting does not count as a stall.
             self._moved_at = asyncio.get_running_loop().time()
 
     def _find_staged(self, wanted: int) -> StagedVersion | None:
-        """Returns what is known of a version; with zero, of the newest."""
+        """Returns the staging state of a version, or of the newest one if zero is given."""
         return self._staged.get(wanted or max(self._staged, default=0))
 
     async def _stage_for(self, wanted: int) -> StagedVersion:
@@ -279,7 +283,7 @@
         return staged
 
     async def _read_pieces(self, wanted: int) -> PieceList:
-        """Reads a version's list and who else there is, or has it from one that has."""
+        """Reads a version's piece list and the members, from a peer that has read them if any."""
         self._origin.set_address(*self._listed.origin)
         shared = await self._listed.read_version(wanted)
         if shared is not None:
@@ -306,26 +310,26 @@
     async def _verify(
         self, staged: StagedVersion, version: int, numbers: range | None = None
     ) -> None:
-        """Reads staged weights back until all are sound, a few times at most.
+        """Verifies staged pieces repeatedly until all are intact, a limited number of times.
 
         Args:
-          numbers: Of which pieces; of all where not given.
+          numbers: The pieces to verify; None for all.
 
         Raises:
-          CodedError: A piece is lost.
+          CodedError: A piece must be rewritten and the store does not hold it.
         """
         was_slow = False
         for _ in range(MOST_VERIFICATIONS):
             began = awake_seconds()
             mended = await staged.verify(numbers)
             if mended < 0:
-                raise CodedError("piece_lost", "a piece is not held here any more", 503)
+                raise CodedError("piece_lost", "a staged piece is bad and not in the store", 503)
             if mended:
                 self._log.write(Event.STAGED_PIECES_MENDED, version=version, pieces=mended)
                 continue
-            # The engine loads what lies there when it takes the order. After a suspension the
-            # first pieces were read long ago, and one that turned bad since would be answered
-            # from. Slow twice in a row is how fast this engine is read, and no suspension.
+            # The engine loads whatever is staged when it accepts the command. After a suspension
+            # the first pieces were verified long ago, and one that became corrupt since would be
+            # served from. If verification is slow twice in a row, this engine is slow to read.
             is_slow = awake_seconds() - began > FRESH_SECONDS
             if not is_slow or was_slow:
                 return
@@ -344,4 +348,4 @@
 
 
 def ignore_report() -> None:
-    """Stands where nobody asked to be told of reports."""
+    """Default callback that does nothing."""
--- a/wasabidrum/weights/engine_controller_test.py
+++ b/wasabidrum/weights/engine_controller_test.py
@@ -1,4 +1,4 @@
-"""Tests of the last look at staged weights, before an engine is ordered to load them."""
+"""Tests of the verification of staged weights, of turns, and of unexpected failures."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class FakeEngine:
-    """A staging area, and what an order to load found there."""
+    """A staging area that records its contents at each load command."""
 
     def __init__(self) -> None:
         self.held = dict(enumerate(PIECES))
@@ -49,13 +49,13 @@
         self.held[number] = content
 
     async def start(self, model: str, version: int, fence: int) -> bool:
-        """See EngineClient; nothing is waited for after it."""
+        """See EngineClient; rejects the command, so that the controller does not wait for it."""
         self.loaded.append(dict(self.held))
         return False
 
 
 class ReadBackTest(unittest.IsolatedAsyncioTestCase):
-    """Pieces can turn bad where they lie, at any moment."""
+    """Staged pieces can become corrupt at any moment."""
 
     async def asyncSetUp(self) -> None:
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
@@ -69,9 +69,9 @@
         self.clock = self.enterContext(contextlib.ExitStack())
 
     async def test_what_was_read_back_before_a_suspension_is_read_back_again(self) -> None:
-        """An instance is suspended while its sidecar reads staged weights back, and a piece
-        that was read already turns bad before it wakes. The order that follows loads it: callers
-        get answers from spoilt weights, and nothing in any log tells why."""
+        """An instance is suspended while its sidecar verifies staged weights, and a piece that was
+        already verified becomes corrupt before it resumes. The load command that follows would
+        make the engine serve corrupt weights, with no trace in any log."""
 
         def suspend(number: int) -> None:
             if self.engine.reads == 2:
@@ -83,8 +83,8 @@
         self.assertEqual(self.engine.loaded, [dict(enumerate(PIECES))])
 
     async def test_an_engine_that_is_always_slow_to_read_gets_its_order(self) -> None:
-        """Reading back takes long each time, as at a machine with little of a processor. Waiting
-        for a quick reading, its engine would never get the version that all others have."""
+        """Verification is slow each time, as on an instance with little processor time. If the
+        sidecar insisted on a fast one, its engine would never load the version."""
 
         def take_long(number: int) -> None:
             self.clock.enter_context(suspended_for(SUSPENDED_SECONDS))
@@ -96,11 +96,11 @@
 
 
 class WorkTest(unittest.IsolatedAsyncioTestCase):
-    """Work for a version that ends in a way that nobody foresaw."""
+    """Work for a version that waits for its turn or fails unexpectedly."""
 
     async def test_an_engine_that_has_waited_for_its_turn_gets_its_order(self) -> None:
-        """The wait was taken for a stall as soon as it was over, and the order was cancelled: the
-        engine went on with old weights until their time had passed."""
+        """Guards against a wait that counts as a stall once it ends: the load command would be
+        cancelled, and the engine would keep the old weights until they expire."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         listed = types.SimpleNamespace(
             model=MODEL,
@@ -121,7 +121,7 @@
         self.assertEqual(controller._choose(choice), 2)
 
     async def test_work_that_fails_unexpectedly_is_begun_again(self) -> None:
-        """Left alone, the engine would never get this version, nor any later one."""
+        """Without a retry the engine would never load this version or any later one."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         store = types.SimpleNamespace(undecided=False, expected=set(), wake_all=lambda: None)
         distributor = types.SimpleNamespace(store=store)
--- a/wasabidrum/weights/engine_extras.py
+++ b/wasabidrum/weights/engine_extras.py
@@ -1,4 +1,4 @@
-"""Gives an engine what goes with a version: its adapters and its role."""
+"""Sets an engine's role and loads its adapters."""
 
 from ..decisions.chunk_plan import ChunkPlan
 from ..endpoints.model_engine import ModelEngine
@@ -12,7 +12,7 @@
 
 
 class EngineExtras:
-    """Knows which adapters and which role this process has given its engine."""
+    """Tracks the adapters and the role that this process has set on its engine."""
 
     __slots__ = ("_follower", "_engine", "_distributor", "_guard", "_log", "_adapters", "_role")
 
@@ -33,12 +33,12 @@
         self._role = ""
 
     def forget(self) -> None:
-        """Takes that the engine has started anew and has nothing."""
+        """Clears the tracked state after the engine has restarted without adapters and role."""
         self._adapters = {}
         self._role = ""
 
     async def order(self, target: Target) -> None:
-        """Gives the engine its role and the adapters that it lacks."""
+        """Sets the engine's role and loads the adapters that it lacks."""
         if self._role != target.role:
             await self._guard.confirm()
             await self._engine.set_role(target.role, self._follower.revision)
--- a/wasabidrum/weights/link_pacer.py
+++ b/wasabidrum/weights/link_pacer.py
@@ -1,4 +1,4 @@
-"""Paces what this sidecar sends of weights, by the links it goes over."""
+"""Limits the rate at which this process sends weights over each link."""
 
 import asyncio
 import collections.abc
@@ -8,7 +8,7 @@
 
 
 class LinkPacer:
-    """Reserves time on the instance's own link and on its region's thin link."""
+    """Reserves time on the instance's link and on the thin link between regions."""
 
     __slots__ = ("_region", "_link_mbit", "_in_progress", "_own", "_thin", "links", "senders")
 
@@ -24,10 +24,10 @@
         self.senders = 1
 
     def reserve(self, to_region: str, size: int, asker_rate: float = 0.0) -> Reservation:
-        """Reserves the time in which some bytes may go to a region.
+        """Reserves the time in which a number of bytes may be sent to a region.
 
         Args:
-          asker_rate: The bytes a second that the one who asks can take; zero where it did not say.
+          asker_rate: The bytes per second that the requester accepts; zero for no limit.
         """
         sent = self._reserve(to_region, size)
         if asker_rate <= 0.0:
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows from the platform's store: who else there is, and what is wanted."""
+"""A sidecar's view of the platform's store: members, published versions and engine settings."""
 
 import asyncio
 import collections.abc
@@ -27,30 +27,30 @@
     first_readers,
 )
 
-# Versions are named rarely; a watch that ends without news costs a call.
+# Timeout of a watch call. Versions are published rarely, and each time-out costs another call.
 WATCH_SECONDS = 20.0
-# Between two calls that fail. Forty sidecars that try three times a second are more calls than all
-# others make; a version is learned so much later at most once the store is back.
+# Pause between failed calls. Forty sidecars that retry three times a second make more calls than
+# all other clients. Once the store is back, a version is learned at most one pause later.
 PAUSE_SECONDS = 0.2
 LONGEST_PAUSE_SECONDS = 0.6
-# Who else there is, is read again when a version is named, and while this one lacks weights.
+# Members are read when a version is published, and at this interval while weights are missing.
 MEMBERS_SECONDS = 2.0
-# How long a process that has just started waits for a relay before it plans without; entries open
+# How long a process waits for a relay after its start before it plans without relays; entries open
 # their streams to it within half a second.
 RELAYS_SECONDS = 1.0
 
 
 class ListedEngines(MemberViews):
-    """Follows the versions that are named, and reads the rest when it is needed.
+    """Watches published versions, and reads members and settings on demand.
 
-    Its members are the sidecars beside this service's engines, this one included.
+    Its members are the sidecars of this service's engines, this one included.
 
     Attributes:
-      wanted: The newest version of this engine's model that was named; zero where none was.
-      model: The model of this engine, empty before it is known.
-      layers: How many layers the model has.
-      on_members: Called after members were read anew while the engine lacks its weights.
-      on_relays: Called after relays have come or gone.
+      wanted: The newest published version of this engine's model; zero if there is none.
+      model: The model of this engine; empty before it is known.
+      layers: The number of layers of the model.
+      on_members: Called after a periodic read of the members while the engine lacks its weights.
+      on_relays: Called after the relays were updated.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         return {name: view.instance.region for name, view in self._relays.items()}
 
     def set_relays(self, statuses: collections.abc.Iterable[Status]) -> None:
-        """Records which entries hold weights, by their own accounts."""
+        """Replaces the relays with the entries whose statuses are given."""
         self._relays = {
             status.host: MemberView(
                 Instance(
@@ -109,10 +109,10 @@
         self.on_relays()
 
     async def wait_for_relays(self) -> None:
-        """Waits until the first relay is known, or for RELAYS_SECONDS after the start at most.
+        """Waits for the first relay, until RELAYS_SECONDS after the start at most.
 
-        All processes start together after a loss of power. A sidecar that plans without relays
-        draws from the origin what these are about to draw.
+        All processes start together after a power outage. A sidecar that plans without relays
+        fetches from the origin what the relays are about to fetch.
         """
         left = self._started_at + RELAYS_SECONDS - awake_seconds()
         if left > 0.0:
@@ -121,17 +121,17 @@
 
     @property
     def wanted_seconds(self) -> float:
-        """For how long the wanted version has been known here."""
+        """Seconds since this process learned of the wanted version."""
         return self.named_for(self.wanted)
 
     def named_for(self, version: int) -> float:
-        """Returns for how many seconds a version has been known to be wanted; zero if it is not."""
+        """Returns the seconds since a version was learned to be published; zero if unknown."""
         at = self._named_at.get(version)
         return awake_seconds() - at if at is not None else 0.0
 
     @property
     def ready(self) -> bool:
-        """Whether enough is known to bring an engine its weights."""
+        """Whether members, engine settings and versions have been read."""
         return self._known
 
     @property
@@ -142,17 +142,17 @@
 
     @property
     def origin_region(self) -> str:
-        """The region in which the origin stands; empty where that is not published."""
+        """The region of the origin; empty if it is not published."""
         return self._deployment.region_of.get(self._readings.setting.origin_data_centre, "")
 
     @property
     def listed(self) -> tuple[ListedMember, ...]:
-        """Those members as they were read last."""
+        """The members as they were last read."""
         return self._listed
 
     @property
     def leaving(self) -> bool:
-        """Whether the engine beside this process takes no new work."""
+        """Whether the local engine accepts no new work."""
         return any(m.leaving for m in self._listed if m.host == self._deployment.host)
 
     @property
@@ -162,7 +162,7 @@
 
     @property
     def answering(self) -> dict[str, str]:
-        """The regions of the engines that answer with some version, by name."""
+        """The regions of the engines that serve any version and are not leaving, by name."""
         return {
             member.host: self._region_of(member.data_centre)
             for member in self._listed
@@ -170,7 +170,7 @@
         }
 
     def holders(self, version: int) -> frozenset[str]:
-        """Returns the others of this region whose engines answer with a version."""
+        """Returns the other members of this region whose engines serve a version."""
         own = self._deployment
         return frozenset(
             member.host
@@ -182,10 +182,10 @@
 
     @property
     def region_of(self) -> dict[str, str]:
-        """The regions of those members that are not leaving, by name.
+        """The regions of the members that are not leaving, by name.
 
-        Those that leave are members all the same: until they are gone they give to others what
-        they have drawn, and may be the only ones that have.
+        Leaving instances stay in the members: until they are gone they serve the chunks that they
+        have fetched, and may be the only ones that hold them.
         """
         leaving = {member.host for member in self._listed if member.leaving}
         return {
@@ -193,12 +193,12 @@
         }
 
     async def wait_other_than(self, version: int) -> None:
-        """Waits until another version is wanted than the one given."""
+        """Waits until the wanted version differs from the one given."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.wanted != version)
 
     async def run(self) -> None:
-        """Follows for ever."""
+        """Reads everything once, then watches published versions, forever."""
         failures = 0
         while True:
             try:
@@ -218,7 +218,7 @@
                 await asyncio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * failures))
 
     async def keep_members(self, lacking: collections.abc.Callable[[], bool]) -> None:
-        """Reads again who else there is, while this engine lacks its weights, for ever."""
+        """Reads the members periodically, forever, while this engine lacks its weights."""
         while True:
             await asyncio.sleep(MEMBERS_SECONDS)
             if lacking():
@@ -226,14 +226,14 @@
                 self.on_members()
 
     async def read_members(self) -> None:
-        """Reads anew who else there is; those known before stay where that fails."""
+        """Reads the members; keeps the known ones if that fails."""
         try:
             await self._read_members()
         except CodedError as error:
             self._log.write(Event.LIST_UNREACHABLE, reason=str(error)[:200])
 
     async def read_version(self, version: int) -> VersionReading | None:
-        """Returns what another sidecar of the region has read of a version, or None."""
+        """Returns a version reading from a peer of the region, or None; updates the members."""
         asked = self._first_readers(f"{self.model}/{version}")
         reading = await self._readings.ask_version(asked, version)
         if reading is None:
@@ -332,13 +332,13 @@
 
 
 def to_member(endpoint: ListedEndpoint) -> ListedMember:
-    """Returns what a sidecar needs to know of another engine."""
+    """Returns the member for a listed endpoint."""
     weights = endpoint.weights if endpoint.whole else 0
     return ListedMember(endpoint.host, endpoint.data_centre, endpoint.leaving, weights)
 
 
 def find_setting(configuration: PublishedConfiguration, service: str) -> EngineSetting | None:
-    """Returns what a configuration says of a service's engines and of the origin, if both."""
+    """Returns the engine setting of a service, or None if engine or origin is not published."""
     own = next((s for s in configuration.services if s.name == service and s.engine), None)
     origin = next((s for s in configuration.services if s.origin is not None), None)
     if own is None or origin is None or not own.models:
@@ -348,4 +348,4 @@
 
 
 def ignore_members() -> None:
-    """Stands where nobody asked to be told of members."""
+    """Default callback that does nothing."""
--- a/wasabidrum/weights/orderer_lock.py
+++ b/wasabidrum/weights/orderer_lock.py
@@ -1,9 +1,9 @@
-"""Lets one process at a time give orders to an endpoint.
+"""A lock that lets one process at a time send commands to an endpoint.
 
-A sidecar that was replaced may come back: it was paused, not dead. Without the lock two
-processes would order the same engine, the older one from an old configuration. The lock is
-a socket in the kernel's abstract namespace: it needs no disk, nobody else can see it on
-other instances, and the kernel frees it when its holder ends, however it ends.
+A sidecar that was replaced may resume, because it was paused and not dead. Without the lock two
+processes would command the same engine, the older one from an old configuration. The lock is a
+socket in the kernel's abstract namespace: it needs no disk, is local to the instance, and the
+kernel releases it however its holder ends.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class OrdererLock:
-    """The right to order one endpoint; held until the process ends."""
+    """The exclusive right to command one endpoint; held until released or the process ends."""
 
     __slots__ = ("_address", "_socket", "_log")
 
@@ -33,7 +33,7 @@
         return self._socket is not None
 
     def try_take(self) -> bool:
-        """Takes the lock where nobody holds it; returns whether it is held now."""
+        """Tries to acquire the lock; returns whether this process holds it now."""
         if self._socket is not None:
             return True
         taken = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -46,7 +46,7 @@
         return True
 
     async def take(self) -> None:
-        """Waits for the lock."""
+        """Waits until the lock is acquired."""
         told = False
         while not self.try_take():
             if not told:
@@ -55,7 +55,7 @@
             await asyncio.sleep(RETRY_SECONDS)
 
     def release(self) -> None:
-        """Gives the lock back."""
+        """Releases the lock."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
--- a/wasabidrum/weights/origin_draw.py
+++ b/wasabidrum/weights/origin_draw.py
@@ -1,4 +1,4 @@
-"""Draws content from the weight store, or from the origin where the store does not give it."""
+"""Fetches content from an ordered list of sources, such as the weight store and the origin."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class OriginDraw:
-    """Asks the sources in their order, and leaves alone one that said when to come back."""
+    """Tries the sources in order, and skips one until the time in its Retry-After header."""
 
     __slots__ = ("_sources", "_busy_until")
 
@@ -20,13 +20,13 @@
         """Returns verified content.
 
         Raises:
-          CodedError: No source gave it.
+          CodedError: No source returned the content.
         """
         loop = asyncio.get_running_loop()
-        failure = CodedError("source_missing", "no source is set", 503)
+        failure = CodedError("source_missing", "no source is configured", 503)
         for place, source in enumerate(self._sources):
             if loop.time() < self._busy_until[place]:
-                failure = CodedError("source_busy", "asked to come back later", 503)
+                failure = CodedError("source_busy", "the source asked to retry later", 503)
                 continue
             try:
                 content = await source.fetch(digest)
@@ -37,5 +37,5 @@
                 continue
             if digest_of(content) == digest:
                 return content
-            failure = CodedError("chunk_corrupt", f"{digest} came with other bytes", 503)
+            failure = CodedError("chunk_corrupt", f"content does not match digest {digest}", 503)
         raise failure
--- a/wasabidrum/weights/peer_asker.py
+++ b/wasabidrum/weights/peer_asker.py
@@ -1,4 +1,4 @@
-"""Asks peers for chunks, and keeps what speaks against asking some of them."""
+"""Requests chunks from peers and tracks the health of each peer."""
 
 import asyncio
 import functools
@@ -21,24 +21,25 @@
 from .transfer_counts import TransferCounts
 
 ASK_WAIT_SECONDS = 3.0
-# A chunk passes an instance's link in a tenth of a second. From one whose link is a quarter as wide
-# as the settings say it comes this much later, and others hold it as well.
+# Delay after which a holder counts as slow. A chunk passes an instance's link in a tenth of a
+# second; from an instance with a quarter of the configured bandwidth it arrives this much later,
+# while other holders could send it faster.
 SLOW_SECONDS = 0.5
-# Of the instance's link, for weights that come over it.
+# The fraction of the instance's link that inbound weights may use.
 LINK_FRACTION = 0.95
 
 
 class PeerAsker:
-    """Requests of one sidecar to its peers.
+    """Sends one process's chunk requests and probes to its peers.
 
     Attributes:
-      peers: The client that asks.
-      evidence: What speaks against asking some of them.
-      holders: Peers of this region that are known to hold the version that is being brought.
-      relays: Members that hold chunks though they are no sidecars.
-      revision: The configuration that this sidecar has; peers may lag behind it.
-      late_seconds: How late the last chunk was whole, beyond the time that it took to send.
-      pace: How fast peers may send here.
+      peers: The HTTP client for chunk requests.
+      evidence: The health of the peers; decides which are skipped.
+      holders: Peers of this region that are known to hold the version being fetched.
+      relays: Members that serve chunks but are not sidecars.
+      revision: The configuration revision of this process; peers may lag behind it.
+      late_seconds: How much later than announced the last chunk was complete.
+      pace: The limit on the rate at which peers may send.
     """
 
     __slots__ = ("_name", "_region", "_membership", "_log", "_watch", "_counts")
@@ -77,7 +78,7 @@
         self.pace = InboundRateLimit(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
 
     def members(self) -> dict[str, MemberView]:
-        """Returns the sidecars that are listed and the relays, by name."""
+        """Returns the listed sidecars and the relays, by name."""
         return {
             view.name: view
             for view in self._membership.members
@@ -85,25 +86,26 @@
         }
 
     def own_link_suspected(self) -> bool:
-        """Returns whether this sidecar's own link seems to be what delays its peers' answers."""
+        """Returns whether this process's own link seems to delay its peers' answers."""
         return self._watch.responsiveness.own_link_suspected(self._now())
 
     def record_draw(self, seconds: float) -> None:
-        """Records how long a chunk took to come from the origin, or how long none came."""
+        """Records the duration of a fetch from the origin, failed or not."""
         self._watch.responsiveness.record_origin_fetch(seconds)
 
     async def ask(
         self, name: str, digest: str, wait: float = ASK_WAIT_SECONDS, rate: float = 0.0
     ) -> tuple[bytes | None, ChunkState | None]:
-        """Asks one peer; a failure becomes evidence, and the state is then None.
+        """Requests a chunk from a peer; a failure is recorded, and the state is then None.
 
         Args:
-          rate: The most bytes a second that it is to send; zero leaves it to the peer.
+          wait: Seconds for which the peer may hold the request until it has the chunk.
+          rate: The highest rate in bytes per second to send at; zero leaves it to the peer.
         """
         return await self._ask(name, digest, wait, probe=False, rate=rate)
 
     async def probe(self, names: list[str], digest: str) -> list[ChunkState | None]:
-        """Returns what peers know of a chunk, without waiting for one that holds all up."""
+        """Returns the state of a chunk at each peer, without waiting for a silent one."""
         return await self._watch.probe_all(names, digest)
 
     async def _probe_one(self, name: str, digest: str) -> ChunkState | None:
@@ -158,16 +160,16 @@
             self._counts.from_other_regions += size
 
     def _others(self) -> list[str]:
-        """Returns the peers against which nothing speaks now."""
+        """Returns the other peers that are not skipped now."""
         now = self._now()
         names = (name for name in self.members() if name != self._name)
         return [name for name in names if not self.evidence.is_skipped(name, now)]
 
     async def _holds_up(self, name: str, digest: str) -> bool:
-        """Returns whether a request that waits at a peer is to go elsewhere."""
+        """Returns whether a request that waits at a peer is to be abandoned."""
         if name not in self.members():
-            # The platform has taken it off its list, and it cannot be probed any more. The
-            # request would wait for five seconds at one that nobody else asks.
+            # The platform has removed the peer from its list, so it cannot be probed. The request
+            # would wait for five seconds at a peer that is most likely gone.
             return True
         if self.evidence.should_wait_for(name):
             return False
@@ -176,7 +178,7 @@
         return await self._watch.holds_up(name, digest)
 
     def _record_held_up(self, name: str, digest: str) -> None:
-        """Takes that a peer is silent while others answer."""
+        """Records that a peer is silent while others answer."""
         if not self.evidence.is_skipped(name, self._now()):
             self._log.write(Event.CHUNK_PEER_PASSED_OVER, peer=name, chunk=digest, code="held_up")
         self.evidence.record_slow(name, self._now())
@@ -188,8 +190,8 @@
         else:
             self._counts.peer_failures += 1
             if self.own_link_suspected() and self.evidence.discard_failures(name):
-                # All peers would be passed over for ever longer, for what this link does to
-                # them, and the origin would be asked for the whole version once more.
+                # The fault is this process's own link. Recording the failure would skip every peer
+                # for longer and longer, and the whole version would be fetched from the origin.
                 return
             self._membership.report_failure(name)
         known = self.evidence.is_skipped(name, self._now())
--- a/wasabidrum/weights/peer_asker_test.py
+++ b/wasabidrum/weights/peer_asker_test.py
@@ -1,4 +1,4 @@
-"""Whom a request goes on waiting at."""
+"""Tests when a waiting request is abandoned."""
 
 import unittest
 
@@ -6,11 +6,11 @@
 
 
 class LeftListTest(unittest.IsolatedAsyncioTestCase):
-    """A request waits at a peer while the platform's list changes."""
+    """A request is waiting at a peer while the platform's list changes."""
 
     async def test_one_that_left_the_list_is_waited_at_no_longer(self) -> None:
-        """A suspended sidecar is tried once more just before the platform takes it off the list.
-        It cannot be probed after that, and engines miss one chunk until it is back."""
+        """A suspended sidecar receives a request just before the platform removes it from the list.
+        It cannot be probed after that, and engines lack one chunk until it resumes."""
         asker = make_distributor("a").asker
         membership = FixedMembership()
         asker._membership = membership
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -1,4 +1,4 @@
-"""Asks a peer for a chunk, and notices when the answer no longer moves."""
+"""HTTP client for chunks at peers; detects stalled and silent peers."""
 
 import asyncio
 import collections.abc
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerAnswer:
-    """What a peer answered; the content is verified, and None unless the state is HELD.
+    """A peer's answer; the content is verified, and None unless the state is HELD.
 
     Attributes:
-      sending_seconds: In which the peer sent the content.
-      late_seconds: How much later the content was whole than the peer had sent it.
+      sending_seconds: The time that the peer announced for sending the content.
+      late_seconds: How much later than announced the content was complete.
     """
 
     state: ChunkState
@@ -37,7 +37,7 @@
 
 
 class ChunkDownload:
-    """One request for a chunk while it runs."""
+    """The progress of one chunk request."""
 
     __slots__ = ("_parts", "_loop", "_moves_until", "_ends_at", "_status", "_head", "given_up")
     __slots__ += ("_due_at", "_idle_from", "sending_seconds")
@@ -50,38 +50,38 @@
         self._moves_until = self._loop.time() + wait + HEAD_GRACE_SECONDS
         self._ends_at = self._moves_until + LONGEST_REQUEST_SECONDS
         self.given_up = False
-        # Before the head comes, a look of half a second is due after the first half.
+        # Before the head arrives, the download counts as idle from half a second on.
         self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - PROBE_INTERVAL_SECONDS
         self._due_at = self._loop.time()
         self.sending_seconds = 0.0
 
     @property
     def late_seconds(self) -> float:
-        """How much later it is than the peer said that all would have left it."""
+        """The seconds since the time at which the peer announced to be done sending."""
         return max(0.0, self._loop.time() - self._due_at)
 
     @property
     def head(self) -> httputil.HTTPHeaders:
-        """The headers so far."""
+        """The response headers received so far."""
         return self._head
 
     @property
     def idle(self) -> bool:
-        """Whether nothing has come for a while, be it that the peer's turn is still to come."""
+        """Whether nothing has arrived for a while, even if sending has not been due yet."""
         return self._loop.time() > self._idle_from + PROBE_INTERVAL_SECONDS
 
     @property
     def content(self) -> bytes:
-        """The bytes so far."""
+        """The body received so far."""
         return b"".join(self._parts)
 
     @property
     def patience(self) -> float:
-        """The seconds after which this download counts as stalled unless something comes."""
+        """The seconds after which this download counts as stalled if nothing arrives."""
         return min(self._moves_until, self._ends_at) - self._loop.time()
 
     def take_header_line(self, line: str) -> None:
-        """Takes one line of the answer's head."""
+        """Processes one line of the response head."""
         if line.startswith("HTTP/"):
             self._head = httputil.HTTPHeaders()
         elif line.strip():
@@ -97,22 +97,22 @@
             self._ends_at = self._moves_until + SLOWEST_FACTOR * seconds + STALL_SECONDS
 
     def forgive(self, seconds: float) -> None:
-        """Takes that this process stood still for a while."""
+        """Extends the expected end by the time for which this process was blocked."""
         self._due_at += seconds
 
     def take_part(self, part: bytes) -> None:
-        """Takes some bytes of the body."""
+        """Processes some bytes of the body."""
         if self.given_up:
-            # The library closes a connection whose input it is told to refuse; without
-            # this a transfer that nobody waits for would go on and take up the link.
-            raise httputil.HTTPInputError("given up")
+            # Tornado closes a connection whose input callback raises this error. Otherwise an
+            # abandoned transfer would continue and occupy the link.
+            raise httputil.HTTPInputError("download abandoned")
         self._parts.append(part)
         self._idle_from = self._loop.time()
         self._moves_until = max(self._moves_until, self._loop.time() + STALL_SECONDS)
 
 
 class PeerChunkClient:
-    """Asks peers for chunks over HTTP."""
+    """Requests chunks from peers over HTTP."""
 
     __slots__ = ("_client", "_name", "_region")
 
@@ -131,13 +131,15 @@
         holds_up: HoldsUp | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
-        """Asks a peer, who answers once it holds the chunk or the wait is over.
+        """Requests a chunk; the peer answers once it holds the chunk or the wait is over.
 
-        A probe is answered at once, and without the content.
+        A probe is answered at once, without the content.
 
         Args:
-          rate: The most bytes a second that the peer is to send; zero leaves it to the peer.
-          holds_up: Looks whether the peer is silent, while nothing comes from it.
+          wait: Seconds for which the peer may hold the request.
+          revision: The configuration revision of this process.
+          holds_up: Called while nothing arrives; returns whether to abandon the request.
+          rate: The highest rate in bytes per second to send at; zero leaves it to the peer.
 
         Raises:
           CodedError: "peer_unreachable", "peer_stalled", "peer_held_up" or "chunk_corrupt".
@@ -165,7 +167,7 @@
                 began = asyncio.get_running_loop().time()
                 await asyncio.wait((answered,), timeout=timeout)
                 waited = asyncio.get_running_loop().time() - began
-                # Where this process stood still itself, the chunk is not late for its link.
+                # Time for which this process itself was blocked does not make the chunk late.
                 download.forgive(max(0.0, waited - timeout))
                 if holds_up is None or answered.done() or not download.idle:
                     continue
@@ -184,7 +186,7 @@
         if response.code == 200:
             content = download.content
             if digest_of(content) != digest:
-                raise CodedError("chunk_corrupt", f"{digest} came with other bytes", 503)
+                raise CodedError("chunk_corrupt", f"content does not match digest {digest}", 503)
             return PeerAnswer(
                 ChunkState.HELD, content, download.sending_seconds, download.late_seconds
             )
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_watch.py
@@ -1,4 +1,4 @@
-"""Notices which of the peers that are waited at no longer answer, by probing them."""
+"""Detects, by probing, which of the peers with waiting requests have become silent."""
 
 import asyncio
 import collections.abc
@@ -10,7 +10,7 @@
 
 
 class ProbeRound:
-    """Some probes that were sent together."""
+    """A set of probes that were sent together."""
 
     __slots__ = ("_loop", "_began", "_probes", "_answers")
 
@@ -29,33 +29,33 @@
 
     @property
     def answers(self) -> dict[str, float | None]:
-        """After how many seconds each peer answered, or None."""
+        """The seconds after which each peer answered; None if it has not."""
         return self._answers
 
     async def wait(self) -> None:
-        """Waits until all have answered or failed, or longer for some than for another."""
+        """Waits until all probes have ended, at most ANSWER_MARGIN_SECONDS past the first answer."""
         pending = set(self._probes.values())
         while pending and all(seconds is None for seconds in self._answers.values()):
             _, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
         ends = self.elapsed + ANSWER_MARGIN_SECONDS
-        # A wait may end a little before its time, and would then blame nobody.
+        # Repeated, because a wait may time out slightly early, and no peer would count as silent.
         while pending and (left := ends - self.elapsed) > 0:
             _, pending = await asyncio.wait(pending, timeout=left)
 
     def find_silent(self) -> list[str]:
-        """Returns those that are to be passed over."""
+        """Returns the peers that are silent and are to be skipped."""
         pending = {
             n: s for n, s in self._answers.items() if s is not None or not self._probes[n].done()
         }
         return find_silent(pending, self.elapsed)
 
     def read_state(self, name: str) -> ChunkState | None:
-        """Returns what a peer answered, or None where it did not."""
+        """Returns the state that a peer answered, or None if it did not answer."""
         probe = self._probes[name]
         return probe.result() if probe.done() and not probe.cancelled() else None
 
     def end(self) -> None:
-        """Ends what still waits."""
+        """Cancels the probes that are still pending."""
         for probe in self._probes.values():
             probe.cancel()
 
@@ -67,10 +67,10 @@
 
 
 class PeerWatch:
-    """Probes peers, each once for all who wait at it.
+    """Probes peers, with one probe shared by all requests that wait at the same peer.
 
     Attributes:
-      responsiveness: What the probes have shown.
+      responsiveness: The results of the probes.
     """
 
     __slots__ = ("_probe", "_others", "_on_held_up", "_looks", "responsiveness")
@@ -84,9 +84,9 @@
         """Creates a watch.
 
         Args:
-          probe: Asks a peer what it knows of a chunk; None where it failed.
-          others: Returns the peers that may be probed as witnesses.
-          on_held_up: Called with a peer that is to be passed over, and the chunk.
+          probe: Returns the state of a chunk at a peer, or None on failure.
+          others: Returns the peers that may be probed for comparison.
+          on_held_up: Called with the name of a silent peer and the chunk.
         """
         self._probe = probe
         self._others = others
@@ -103,11 +103,11 @@
             look = asyncio.ensure_future(self._look(name, digest))
             self._looks[name] = look
             look.add_done_callback(lambda _: self._looks.pop(name, None))
-        # One of those who wait may give up; the others still want to know.
+        # Shielded: one waiting request may be cancelled while others need the result.
         return await asyncio.shield(look)
 
     async def probe_all(self, names: list[str], digest: str) -> list[ChunkState | None]:
-        """Returns what peers know of a chunk, without waiting for one that holds all up."""
+        """Returns the state of a chunk at each peer, without waiting for a silent one."""
         probes, _ = await self._play_round(names, digest)
         return [probes.read_state(name) for name in names]
 
--- a/wasabidrum/weights/relay_members.py
+++ b/wasabidrum/weights/relay_members.py
@@ -1,4 +1,4 @@
-"""Whom a relay knows: the sidecars beside a service's engines, and the other relays."""
+"""Members known to a relay: the sidecars of a service's engines, and all relays."""
 
 import collections.abc
 
@@ -11,10 +11,15 @@
 
 
 class RelayMembers(MemberViews):
-    """Follows what an entry knows of endpoints and entries; see Membership."""
+    """A member list computed from an entry's endpoints and entries; see Membership."""
 
     def __init__(self, region_of: collections.abc.Mapping[str, str], first_port: int) -> None:
-        """Takes the regions of all data centres, and the first port of every process."""
+        """Creates an empty member list.
+
+        Args:
+          region_of: Regions by data centre.
+          first_port: The first port of every process.
+        """
         super().__init__()
         self._region_of = region_of
         self._first_port = first_port
@@ -23,7 +28,7 @@
 
     @property
     def listed(self) -> tuple[ListedMember, ...]:
-        """The sidecars' instances as the platform lists the engines beside them."""
+        """The sidecars, as the platform lists their engines."""
         return self._listed
 
     @property
@@ -33,11 +38,11 @@
 
     @property
     def region_of(self) -> dict[str, str]:
-        """The regions of the sidecars that want weights, by name."""
+        """The regions of the sidecars that are not leaving, by name."""
         return {m.host: self._region(m.data_centre) for m in self._listed if not m.leaving}
 
     def holders(self, version: int, region: str) -> frozenset[str]:
-        """Returns the sidecars of a region whose engines answer with a version."""
+        """Returns the sidecars of a region whose engines serve a version."""
         return frozenset(
             member.host
             for member in self._listed
@@ -49,7 +54,12 @@
         endpoints: collections.abc.Iterable[ListedEndpoint],
         relays: collections.abc.Mapping[str, str],
     ) -> None:
-        """Takes the engines that are listed, and the data centres of all relays by name."""
+        """Replaces the members.
+
+        Args:
+          endpoints: The listed engines.
+          relays: The data centres of all relays by name.
+        """
         self._listed = tuple(to_member(endpoint) for endpoint in endpoints)
         self._relays = dict(relays)
         places = {member.host: member.data_centre for member in self._listed}
--- a/wasabidrum/weights/rollout_gate.py
+++ b/wasabidrum/weights/rollout_gate.py
@@ -1,4 +1,4 @@
-"""Holds an endpoint that is ready to switch until its turn, or until the version is stopped."""
+"""Delays an endpoint's switch to a staged version until its turn, or stops it."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RolloutState:
-    """What this endpoint tells others of its part in a rollout; see Status."""
+    """The rollout fields that this endpoint publishes in its Status."""
 
     staged: str = ""
     switching: bool = False
@@ -27,7 +27,7 @@
 
 
 class RolloutGate:
-    """Asks the others of the model and applies the decisions of rollout_wave."""
+    """Reads the statuses of the model's other endpoints and applies the rules of rollout_wave."""
 
     __slots__ = ("_name", "_statuses", "_log", "_since", "state")
 
@@ -39,22 +39,22 @@
         self.state = RolloutState()
 
     def begin(self, revision: int) -> None:
-        """Forgets what was found out about the version before.
+        """Resets the rollout state for a new target.
 
-        A version that was stopped may be published again. What others say under an older
-        revision is of the time before, so it does not count from now on.
+        A stopped version may be published again, so statuses from before this revision are ignored
+        from now on.
         """
         self._since = revision
         self.state = RolloutState()
 
     def order_of(self, current: FleetRevision, model: str, root: str) -> list[str]:
-        """Returns the order of the model's endpoints for a version."""
+        """Returns the model's endpoints in the rollout order of a version."""
         endpoints = current.fleet.endpoints
         names = {name for name, spec in endpoints.items() if spec.model == model}
         return rollout_wave.rollout_order(root, names | {self._name})
 
     async def read_proof(self, order: list[str], version: str, ready_seconds: float) -> Proof:
-        """Asks the contacts for news of a version."""
+        """Reads the contacts' statuses and returns whether a version is proven or stopped."""
         if self.state.proven == version:
             return Proof.PROVEN
         contacts = rollout_wave.find_contacts(order, self._name)
@@ -64,7 +64,7 @@
             statuses = await self._statuses.read_first(contacts)
         statuses = self._current_ones(statuses)
         proof = rollout_wave.judge_proof(order, self._name, version, statuses, ready_seconds)
-        # Passing the news on is what carries it down the tree.
+        # Published in turn by this endpoint, so that the result spreads down the tree.
         if proof is Proof.PROVEN:
             self.state.proven = version
         elif proof is Proof.STOPPED:
@@ -72,9 +72,9 @@
         return proof
 
     async def wait_turn(self, order: list[str], model: ModelSpec) -> bool:
-        """Waits for this endpoint's turn; returns False where the version is stopped.
+        """Waits for this endpoint's turn; returns False if the version is stopped.
 
-        When it returns True the state says that this endpoint is switching.
+        When it returns True, the state is marked as switching.
         """
         loop = asyncio.get_running_loop()
         version = model.version
@@ -92,10 +92,10 @@
             await asyncio.sleep(POLL_SECONDS)
 
     async def judge_failure(self, order: list[str], version: str) -> None:
-        """Looks whether a failure here was this instance's own or the version's.
+        """Decides whether a failure was caused by this instance or by the version.
 
-        A version that came into force elsewhere is worth another attempt here; one that
-        failed on several and succeeded on none is stopped.
+        A version that is proven elsewhere is tried again here; one that failed on enough endpoints
+        and is proven on none is stopped.
         """
         if self.state.stopped == version:
             return
@@ -115,7 +115,7 @@
             self._log.write(Event.VERSION_STOPPED, version=version, failures=failures)
 
     async def read_common_version(self, order: list[str]) -> str:
-        """Returns the version that most of the first in line answer with, or empty."""
+        """Returns the version that most canary candidates serve, or an empty string."""
         statuses = await self._statuses.read(order[:CANARY_CANDIDATES])
         versions = [status.version for status in statuses.values() if status and status.version]
         return max(versions, key=versions.count, default="")
@@ -131,8 +131,8 @@
         seen = await self._statuses.read(chain)
         if not rollout_wave.may_switch(order, self._name, model.version, seen):
             return False
-        # The claim stands before the others are read again. Two that claim at once
-        # therefore see each other, and the later in the order gives way.
+        # The claim is published before the others are read again. Two endpoints that claim at the
+        # same time therefore see each other, and the later one in the order backs off.
         self.state.switching = True
         try:
             while rivals := rollout_wave.find_rivals(
--- a/wasabidrum/weights/shared_readings.py
+++ b/wasabidrum/weights/shared_readings.py
@@ -1,14 +1,14 @@
-"""What one sidecar of a region reads from the platform, and hands to the others there.
+"""Shares what one process of a region has read from the platform with its peers there.
 
-Load pattern: a version is named, or an outage of power ends, and every sidecar reads the same at
-the same moment: the configuration (some hundred kilobytes with a thousand routes), who else
-there is, and the list of the version's pieces. Forty sidecars that share a link of 15 Mbit/s
-take ten seconds for the configuration alone; reads time out, begin anew, and the link stays full
-for as long as that lasts. The origin's link carries the list forty times before any piece.
+Load pattern: a version is published, or a power outage ends, and every sidecar reads the same data
+at the same moment: the configuration (some hundred kilobytes with a thousand routes), the members,
+and the version's piece list. Forty sidecars that share a link of 15 Mbit/s need ten seconds for the
+configuration alone; reads time out and restart, and the link stays saturated meanwhile. The
+origin's link carries the list forty times before the first piece.
 
-The first of a region in an order that all agree on reads; the others ask it, then the second.
-Who gets no answer reads for itself, so that nothing hangs on one process. Relays come first in that
-order; they know at any time who else there is.
+Only the first process of a region reads, in an order that all compute alike; the others ask it,
+then the second. A process that gets no answer reads for itself, so that there is no single point
+of failure. Relays come first in that order, because they always know the current members.
 """
 
 import asyncio
@@ -26,25 +26,26 @@
 from ..wire import http_client
 
 PATH = "/internal/readings/"
-# Peers that are asked before a sidecar reads for itself.
+# Number of peers that are asked before a process reads for itself.
 MOST_ASKED = 2
 CONNECT_SECONDS = 0.3
 SETTING_SECONDS = 2.0
 VERSION_SECONDS = 0.6
-# How long a peer keeps the question while it reads itself.
+# How long a peer holds a request while it is still reading the data itself.
 HELD_SECONDS = 1.5
-# A version is named and read by all within a second; later, others have come and gone.
+# How long members count as current. All sidecars read a published version within a second; later,
+# the members may have changed.
 FRESH_SECONDS = 2.0
 STATUS_MISSING = 404
-# The name in a path of whichever version a peer knows as the latest.
+# The path name of the latest version that a peer knows.
 LATEST = "0"
 
 
 class EngineSetting(msgspec.Struct, frozen=True):
-    """What a sidecar needs of the configuration: its engine's model, and the origin's place.
+    """The part of the configuration that a sidecar needs: its engine's model, and the origin.
 
     Attributes:
-      origin_data_centre: Empty where it is not published.
+      origin_data_centre: Empty if it is not published.
     """
 
     model: str
@@ -55,11 +56,11 @@
 
 
 class ListedMember(msgspec.Struct, frozen=True):
-    """A sidecar, as the platform lists the engine beside it.
+    """A sidecar, as the platform lists its engine.
 
     Attributes:
-      leaving: The engine takes no new work, and needs no weights any more.
-      weights: The version that the engine answers with; zero for none.
+      leaving: Whether the engine takes no new work, and so needs no more weights.
+      weights: The version that the engine serves; zero for none.
     """
 
     host: str
@@ -69,11 +70,11 @@
 
 
 class VersionReading(msgspec.Struct, frozen=True):
-    """What is read when a version is named: the list of its pieces, and who else there is.
+    """The data read when a version is published: its piece list and the members.
 
     Attributes:
-      members: Empty where they were read too long ago.
-      named_for: For how many seconds the version has been known to be wanted.
+      members: Empty if they were read too long ago.
+      named_for: Seconds since the version was learned to be published.
     """
 
     pieces: PieceList
@@ -82,13 +83,13 @@
 
 
 class SharedReadings:
-    """Asks those who read first, and keeps what this one has for those who ask it.
+    """Requests readings from peers, and keeps this process's own readings for its peers.
 
     Attributes:
-      setting: What this sidecar knows of its engine, or None.
-      version: The latest reading here, or None.
-      list_members: Returns who else there is now; None where that is known only from readings.
-      named_for: Returns for how many seconds the latest version has been known to be wanted.
+      setting: The engine setting, or None before it is known.
+      version: The latest version reading, or None.
+      list_members: Returns the current members; None if they are known only from readings.
+      named_for: Returns the seconds since the latest version was learned to be published.
     """
 
     __slots__ = ("_client", "_log", "_changed", "_read_at", "setting", "version", "list_members")
@@ -105,20 +106,20 @@
         self.named_for: collections.abc.Callable[[], float] = lambda: 0.0
 
     async def keep_setting(self, setting: EngineSetting) -> None:
-        """Keeps what was read, and answers those who wait for it."""
+        """Stores the setting and wakes the requests that wait for it."""
         async with self._changed:
             self.setting = setting
             self._changed.notify_all()
 
     async def keep_version(self, reading: VersionReading) -> None:
-        """As keep_setting."""
+        """Stores the reading and wakes the requests that wait for it."""
         async with self._changed:
             self.version = reading
             self._read_at = asyncio.get_running_loop().time()
             self._changed.notify_all()
 
     async def find(self, name: str) -> EngineSetting | VersionReading | None:
-        """Returns a reading by its name in a path, once it is here, or None after a while."""
+        """Returns a reading by its path name, or None if it is not available in time."""
 
         try:
             async with asyncio.timeout(HELD_SECONDS), self._changed:
@@ -138,21 +139,21 @@
         return self.version.members if fresh else ()
 
     def _is_decided(self, name: str) -> bool:
-        """Returns whether a reading is here, or will not come."""
+        """Returns whether a reading is available, or known not to become available."""
         if name == "setting":
             return self.setting is not None
-        # What is older than the latest reading is not read any more.
+        # Versions older than the latest reading are not read any more.
         return self.version is not None and self.version.pieces.version >= int(name)
 
     async def ask_setting(self, peers: list[MemberView]) -> EngineSetting | None:
-        """Returns what the first of some peers knows of the service's engines, or None."""
+        """Returns the engine setting from the first peer that has it, or None."""
         return await self._ask(peers, "setting", EngineSetting, SETTING_SECONDS)
 
     async def ask_version(self, peers: list[MemberView], version: int) -> VersionReading | None:
-        """Returns what the first of some peers read of a version, or None.
+        """Returns a version reading from the first peer that has it, or None.
 
         Args:
-          version: Zero for the latest that a peer knows, as where none was named.
+          version: Zero for the latest that a peer knows, if no version has been published.
         """
         return await self._ask(peers, str(version), VersionReading, VERSION_SECONDS)
 
@@ -174,14 +175,14 @@
 
 
 class ReadingsHandler(web.RequestHandler):
-    """GET /internal/readings/NAME: the engine's setting, or a version's list and members."""
+    """GET /internal/readings/NAME: the engine setting, or a version's piece list and members."""
 
     def initialize(self, readings: SharedReadings) -> None:
-        """Takes the readings from the route."""
+        """Stores the readings passed by the route."""
         self._readings = readings
 
     async def get(self, name: str) -> None:
-        """Answers with the reading, or 404 where it is not here."""
+        """Responds with the reading, or 404 if it is not available."""
         reading = await self._readings.find(name)
         if reading is None:
             self.set_status(STATUS_MISSING)
@@ -197,10 +198,13 @@
     members: collections.abc.Iterable[MemberView],
     relays: collections.abc.Collection[str] = (),
 ) -> list[MemberView]:
-    """Returns whom a sidecar asks before it reads for itself; nobody where it comes first.
+    """Returns the peers that a process asks before it reads for itself; empty if it is the first.
 
     Args:
-      subject: What is to be read; it deals the work out.
+      subject: The data to be read; determines the order, so that the load is spread.
+      own: The name of this process.
+      region: The region of this process.
+      relays: The names of the relays, which come first.
     """
     near = {member.name: member for member in members if member.instance.region == region}
     first = [name for name in {*near, own} if name in relays]
--- a/wasabidrum/weights/staged_version.py
+++ b/wasabidrum/weights/staged_version.py
@@ -1,4 +1,4 @@
-"""Brings a version's pieces into an engine's staging area, and proves that they lie there whole."""
+"""Stages the pieces of a version in an engine's staging area and verifies them there."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 
 
 class StagedVersion:
-    """One version on its way into one staging area.
+    """One version that is being staged for one engine.
 
     Attributes:
-      root: What names the version's content, the same at every sidecar.
-      progressed_at: When a piece came that had not been here before, by the event loop's clock.
+      root: Digest of the version's manifest, the same at every sidecar.
+      progressed_at: When a new piece last arrived, by the event loop's clock.
     """
 
     __slots__ = ("_engine", "_distributor", "_pieces", "_manifest", "_here")
@@ -33,19 +33,19 @@
 
     @property
     def version(self) -> int:
-        """The version's number."""
+        """The version number."""
         return self._pieces.version
 
     @property
     def share(self) -> float:
-        """The share of the pieces that have come."""
+        """The fraction of the pieces that are staged."""
         return len(self._here) / max(1, len(self._pieces.digests))
 
     async def adopt(self) -> int:
-        """Takes sound pieces that lie in the staging area already; returns how many.
+        """Registers intact pieces that are already in the staging area; returns their number.
 
-        An engine that is there at the start has its version staged. Its sidecar can give the
-        pieces to others that need them, which spares the origin's link a copy.
+        An engine that was running before this process has its version staged. Serving these
+        pieces to peers saves the origin's link one copy.
         """
         held = await self._engine.staged(self._pieces.model)
         adopted = 0
@@ -62,16 +62,17 @@
     async def bring(
         self, region_of: dict[str, str], relays: dict[str, str], origin_region: str
     ) -> None:
-        """Brings every piece that is missing here, and stages all.
+        """Fetches every missing piece and stages them all.
 
         Args:
           region_of: The regions of the sidecars that want the version, by name.
           relays: The regions of the relays, by name.
-          origin_region: Where the origin stands; empty where that is not known.
+          origin_region: The region of the origin; empty if unknown.
         """
         pieces = self._pieces
-        # Relays of the origin's region draw a copy as fast as it leaves the origin. Sidecars have
-        # narrow links: drawn in one region only, a copy would take twice as long to leave it.
+        # Relays in the origin's region fetch a copy as fast as the origin can send it. Sidecars
+        # have narrow links: if one region fetched the copy alone, it would take twice as long to
+        # leave that region.
         drawing = origin_region if relays else ""
         plan = ChunkPlan(self.root, pieces.digests, region_of, drawing, relays)
         self._distributor.share_link(plan)
@@ -80,24 +81,27 @@
         await VersionDownload(self._distributor, plan, self._manifest, every, self._put).run()
 
     def complete_layer(self, layers: int) -> int | None:
-        """Returns a layer of which every piece is here, or None."""
+        """Returns the first layer whose pieces are all staged, or None."""
         for layer in range(layers):
             if self._here.issuperset(self.pieces_of(layer, layers)):
                 return layer
         return None
 
     def pieces_of(self, layer: int, layers: int) -> range:
-        """Returns the numbers of the pieces that hold a layer."""
+        """Returns the numbers of the pieces that contain a layer."""
         return pieces_of_layer(layer, layers, len(self._pieces.digests))
 
     async def verify(self, numbers: range | None = None) -> int:
-        """Reads pieces back and puts anew what is missing or has changed; returns how many.
+        """Reads staged pieces back and rewrites those that are missing or corrupt.
 
-        What lies in the staging area can turn bad there. An engine takes it as it is, and
-        would answer from spoilt weights; so it is read back just before the order.
+        Pieces can become corrupt in the staging area. The engine does not check them and would
+        serve from corrupt weights, so they are read back just before the load command.
 
         Args:
-          numbers: Which pieces; all where not given.
+          numbers: The pieces to verify; None for all.
+
+        Returns:
+          The number of pieces rewritten, or -1 if the store does not hold a piece that needs it.
         """
         held = set(await self._engine.staged(self._pieces.model))
         mended = 0
--- a/wasabidrum/weights/staged_version_test.py
+++ b/wasabidrum/weights/staged_version_test.py
@@ -1,4 +1,4 @@
-"""Which part of a version that is on its way an engine could load."""
+"""Tests which layers of a partly staged version are complete."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class TakingEngine:
-    """A staging area that takes everything."""
+    """A staging area that accepts every piece."""
 
     async def put_piece(self, model: str, number: int, content: bytes) -> None:
         """See EngineClient."""
@@ -20,7 +20,7 @@
     """A version of four layers, three pieces each."""
 
     async def test_a_layer_is_complete_once_all_its_pieces_are_here(self) -> None:
-        """Guards against an order to load a layer of which a piece is missing."""
+        """Guards against a command to load a layer of which a piece is missing."""
         staged = StagedVersion(TakingEngine(), None, PieceList("m", 2, 1, PIECES))
         for number in (0, 1, 6, 7, 11):
             await staged._put(number, b"x")
--- a/wasabidrum/weights/status_client.py
+++ b/wasabidrum/weights/status_client.py
@@ -1,4 +1,4 @@
-"""Reads other sidecars' accounts of themselves, one by one, when a decision needs them fresh."""
+"""Reads the current statuses of other sidecars, for decisions that need them up to date."""
 
 import asyncio
 import collections.abc
@@ -17,26 +17,31 @@
 
 
 class StatusClient:
-    """Asks sidecars for their status over HTTP."""
+    """Requests the statuses of sidecars over HTTP.
+
+    Attributes:
+      asked: The number of requests sent.
+    """
 
     __slots__ = ("_client", "_membership", "_silent", "asked")
 
     def __init__(self, client: httpclient.AsyncHTTPClient, membership: Membership) -> None:
         self._client = client
         self._membership = membership
-        # Until when each that did not answer is left alone, and for how long that was.
+        # Backoff by URL: the time of the next allowed request, and the current pause.
         self._silent: dict[str, tuple[float, float]] = {}
         self.asked = 0
 
     async def read(self, names: collections.abc.Iterable[str]) -> dict[str, Status | None]:
-        """Returns the statuses by name; None for one that is not listed or did not answer."""
+        """Returns the statuses by name; None for a sidecar that is unlisted, in backoff or
+        unreachable."""
         names = list(names)
         urls = {view.name: view.url for view in self._membership.members}
         answers = await asyncio.gather(*(self._read_one(urls.get(name, "")) for name in names))
         return dict(zip(names, answers, strict=True))
 
     async def read_first(self, names: collections.abc.Iterable[str]) -> dict[str, Status | None]:
-        """Asks one after the other until one answers."""
+        """Requests the statuses one at a time until a sidecar answers."""
         statuses: dict[str, Status | None] = {}
         for name in names:
             statuses |= await self.read((name,))
@@ -47,7 +52,7 @@
     async def _read_one(self, url: str) -> Status | None:
         now = asyncio.get_running_loop().time()
         until, pause = self._silent.get(url, (0.0, FIRST_PAUSE_SECONDS / 2))
-        # A link that stalls costs a whole timeout each time, and a rollout asks many times.
+        # A stalled link costs a full timeout per request, and a rollout sends many requests.
         if not url or now < until:
             return None
         self.asked += 1
--- a/wasabidrum/weights/target.py
+++ b/wasabidrum/weights/target.py
@@ -1,4 +1,4 @@
-"""What the files want of one endpoint."""
+"""The target state that the configuration defines for one endpoint."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
     """The model, version, adapters and role that an endpoint is to have.
 
     Attributes:
-      adapters: Root digests by adapter name, in order.
+      adapters: Pairs of adapter name and root digest, sorted by name.
     """
 
     model: str
@@ -21,7 +21,7 @@
 
 
 def find_target(current: FleetRevision, name: str) -> Target | None:
-    """Returns what a revision wants of an endpoint, or None where it wants no model."""
+    """Returns an endpoint's target in a revision, or None if it is assigned no known version."""
     endpoint = current.fleet.endpoints.get(name)
     model = current.fleet.models.get(endpoint.model) if endpoint else None
     if model is None or model.version not in model.versions:
@@ -33,7 +33,7 @@
 
 
 def region_of_endpoints(current: FleetRevision, model: str) -> dict[str, str]:
-    """Returns the regions of all endpoints of a model, by name."""
+    """Returns the region of each endpoint of a model, by endpoint name."""
     return {
         name: endpoint.region
         for name, endpoint in current.fleet.endpoints.items()
--- a/wasabidrum/weights/transfer_counts.py
+++ b/wasabidrum/weights/transfer_counts.py
@@ -1,15 +1,15 @@
-"""What a sidecar has moved, for operators and benches."""
+"""Transfer counters of a process, for operators and benchmarks."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class TransferCounts:
-    """Bytes of weights by where they came from and went, and what went wrong.
+    """Bytes of weights by source and destination, and counts of requests and failures.
 
     Attributes:
-      asks: Requests for chunks sent to peers, whatever the answer.
-      corrupt: Chunks that came with other bytes than their digest names.
+      asks: Chunk requests and probes sent to peers, whatever the answer.
+      corrupt: Chunks whose content did not match their digest.
     """
 
     from_origin: int = 0
@@ -23,7 +23,7 @@
     corrupt: int = 0
 
     def by_source(self) -> dict[str, int]:
-        """Returns the bytes fetched, by where they came from."""
+        """Returns the bytes fetched, by source."""
         return {
             "origin": self.from_origin,
             "own_region": self.from_own_region,
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -1,4 +1,4 @@
-"""Brings all chunks of one version that an engine lacks, each as soon as it can be had."""
+"""Downloads the chunks of a version that an engine lacks, each as soon as it is available."""
 
 import asyncio
 import collections.abc
@@ -8,14 +8,16 @@
 from ..decisions.inbound_rate_limit import ON_TIME_SECONDS
 from .distributor import Distributor
 
-# Chunks that this sidecar draws from the origin, at once: enough that the next is under
-# way while one ends, few enough that each comes soon and is passed on meanwhile.
+# Concurrent fetches from the origin: enough that the next is in flight while one completes, few
+# enough that each chunk arrives soon and can be served to peers meanwhile.
 DRAWS_AT_ONCE = 2
-# How long draws go before all else; with an origin that is gone the rest must not wait longer.
+# How long origin fetches take precedence over other transfers. If the origin is unreachable, the
+# other transfers must not wait longer than this.
 DRAWS_FIRST_SECONDS = 2.0
-# Asked of peers meanwhile, so that they know of this sidecar, which they wait for.
+# Concurrent requests to peers during that time. Peers wait for this sidecar's chunks and learn
+# from these requests that it is up.
 ASKS_WHILE_DRAWING = 2
-# Chunks that it brings in from another region, at once. Its senders there are several.
+# Concurrent fetches from another region, where several peers send to this sidecar.
 IMPORTS_AT_ONCE = 4
 
 Deliver = collections.abc.Callable[[int, bytes], collections.abc.Awaitable[None]]
@@ -24,13 +26,13 @@
 async def fetch_manifest(
     distributor: Distributor, root: str, region_of: dict[str, str], origin_region: str
 ) -> Manifest:
-    """Returns a version's verified manifest, which travels as a chunk does."""
+    """Returns a version's verified manifest, which is distributed as a chunk itself."""
     plan = ChunkPlan(root, (root,), region_of, origin_region)
     return decode_manifest(await distributor.fetch(plan, root), root)
 
 
 class VersionDownload:
-    """One version on its way to one engine. Cancelling run ends every request for it."""
+    """The download of one version for one engine. Cancelling `run` cancels all its requests."""
 
     __slots__ = ("_distributor", "_plan", "_manifest", "_deliver", "_places")
     __slots__ += ("_group", "_asking", "_askers", "_draws_first")
@@ -44,11 +46,13 @@
         deliver: Deliver,
         draws_first: bool = True,
     ) -> None:
-        """Takes what is missing, and what to call with each chunk.
+        """Creates a download.
 
         Args:
-          draws_first: What is drawn from the origin goes before all else for a while, as where
-            this instance's link is too narrow for both.
+          missing: Indexes of the chunks to download.
+          deliver: Called with the index and the content of each chunk.
+          draws_first: Gives origin fetches precedence for a while, for an instance whose link
+            is too narrow for both.
         """
         self._distributor = distributor
         self._plan = plan
@@ -79,16 +83,16 @@
                 draws.append(digest)
             else:
                 imports.append(digest)
-        # Three lanes: were there one, chunks that others wait for would stand in line behind
-        # chunks that this sidecar itself waits for, and the whole fleet would wait in turn.
+        # Three separate queues: in a single one, chunks that peers wait for would queue behind
+        # chunks that this sidecar waits for, and the delay would spread through the fleet.
         async with asyncio.TaskGroup() as group:
             drawing = self._start_lane(group, draws, DRAWS_AT_ONCE)
             asking = iter(asks)
             self._start(group, asking, min(ASKS_WHILE_DRAWING, len(asks)))
             if drawing and self._draws_first:
-                # What it draws nobody else has. Were the link shared with what it asks of
-                # others, one slow instance would keep its part from the whole fleet for
-                # seconds, and for as long as the origin is away if that fails meanwhile.
+                # No other sidecar fetches these chunks from the origin. If they shared the link
+                # with requests to peers, one slow instance would delay the whole fleet by
+                # seconds, or for the length of an outage if the origin fails meanwhile.
                 await asyncio.wait(drawing, timeout=DRAWS_FIRST_SECONDS)
             self._start_lane(group, imports, IMPORTS_AT_ONCE)
             self._group = group
@@ -107,11 +111,11 @@
         return [group.create_task(self._work(work)) for _ in range(workers)]
 
     def _widen(self) -> None:
-        """Asks for one chunk more at once, while the last came as soon as it was sent.
+        """Raises the number of concurrent requests by one if the last chunk arrived on time.
 
         An instance's link may be narrower than its settings say. A dozen chunks sent to it at
-        once then stand before its engine's requests for seconds: callers have left by the time
-        that their requests arrive.
+        once then delay its engine's requests by seconds, and callers give up before their
+        requests arrive.
         """
         if self._asking is None or self._askers >= self._distributor.asks_at_once(self._plan):
             return
--- a/wasabidrum/weights/version_download_test.py
+++ b/wasabidrum/weights/version_download_test.py
@@ -1,4 +1,4 @@
-"""Tests that an engine is only ever told to switch to a whole version."""
+"""Tests of downloads: order, concurrency, and activation of complete versions only."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class SlowDistributor:
-    """Gives chunks after a random number of turns of the event loop."""
+    """Returns chunks after a random number of event loop iterations."""
 
     def __init__(self, contents: dict[str, bytes], chance: random.Random) -> None:
         self.store = ChunkStore(16)
@@ -26,19 +26,19 @@
         self._chance = chance
 
     def is_carrier(self, plan: ChunkPlan, index: int) -> bool:
-        """Returns whether the plan names this sidecar."""
+        """See Distributor."""
         return index % 3 == 0
 
     def asks_at_once(self, plan: ChunkPlan) -> int:
-        """Returns how many chunks may be asked for together."""
+        """See Distributor."""
         return 12
 
     def is_first_region(self, plan: ChunkPlan, index: int) -> bool:
-        """Returns whether its region draws."""
+        """See Distributor."""
         return index % 2 == 0
 
     async def fetch(self, plan: ChunkPlan, digest: str) -> bytes:
-        """Returns a chunk, sometimes late."""
+        """Returns a chunk after a random delay."""
         for _ in range(self._chance.randrange(6)):
             await asyncio.sleep(0)
         self.store.add(digest, self._contents[digest], self._chance.randrange(9))
@@ -46,16 +46,16 @@
 
 
 class VersionDownloadTest(unittest.TestCase):
-    """Any order of arrivals, cancellations and changes of version."""
+    """Arbitrary orders of arrivals, cancellations and version changes."""
 
     @hypothesis.settings(derandomize=True, max_examples=120, deadline=None)
     @hypothesis.given(
         strategies.integers(0, 9999), strategies.lists(strategies.integers(0, 25), max_size=5)
     )
     def test_an_engine_switches_to_whole_versions_only(self, seed: int, turns: list[int]) -> None:
-        """The wanted version changes again and again while chunks arrive in any order. If a
-        download that was given up could end as if it were complete, callers would be
-        answered from partial weights, or from two versions at once."""
+        """The target version changes repeatedly while chunks arrive in any order. If a cancelled
+        download could end as if it were complete, callers would be served from partial weights
+        or from a mix of two versions."""
         chance = random.Random(seed)
         texts = [bytes(chance.randrange(3) for _ in range(30)) for _ in range(3)]
         activated: list[int] = []
@@ -97,7 +97,7 @@
 
 
 class RecordingDistributor(SlowDistributor):
-    """Notes which chunks were begun, and lets draws take their time."""
+    """Records which fetches were started; origin fetches block until the origin answers."""
 
     def __init__(self, contents: dict[str, bytes], plan: ChunkPlan) -> None:
         super().__init__(contents, random.Random(1))
@@ -106,7 +106,7 @@
         self.origin = asyncio.Event()
 
     async def fetch(self, plan: ChunkPlan, digest: str) -> bytes:
-        """Returns a chunk; those that this sidecar draws, once the origin answers."""
+        """Returns a chunk; one from the origin only once `origin` is set."""
         index = plan.index_of(digest)
         self.begun.append(index)
         if self.draws(index):
@@ -114,12 +114,12 @@
         return await super().fetch(plan, digest)
 
     def draws(self, index: int) -> bool:
-        """Returns whether this sidecar draws a chunk from the origin."""
+        """Returns whether this sidecar fetches a chunk from the origin."""
         return self.is_carrier(self._plan, index) and self.is_first_region(self._plan, index)
 
 
 class DrawsFirstTest(unittest.IsolatedAsyncioTestCase):
-    """What a sidecar does before its own draws are done."""
+    """Concurrency while fetches from the origin are in progress."""
 
     def setUp(self) -> None:
         text = bytes(range(240))
@@ -132,13 +132,13 @@
         self.download = VersionDownload(self.distributor, plan, manifest, every, self.deliver)
 
     async def deliver(self, index: int, content: bytes) -> None:
-        """Takes a chunk."""
+        """Records a delivered chunk."""
         self.staged[index] = content
 
     async def test_most_of_what_peers_have_waits_for_what_nobody_has(self) -> None:
-        """An instance's link is slow, and its sidecar asks peers for a dozen chunks while it
-        draws its own part from the origin. Its part takes seconds; the origin goes away
-        meanwhile, and the whole fleet lacks two chunks for as long as it is away."""
+        """On a slow link, a dozen concurrent requests to peers delay the origin fetches by
+        seconds. If the origin fails meanwhile, the whole fleet lacks two chunks for the length
+        of the outage."""
         running = asyncio.ensure_future(self.download.run())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -158,9 +158,8 @@
         await asyncio.gather(running, return_exceptions=True)
 
     async def test_a_link_that_is_narrow_is_asked_for_little_at_once(self) -> None:
-        """An instance's link has become narrow while a version travels. A dozen chunks sent to
-        it at once stand before its engine's requests for nine seconds, and callers have left
-        by the time that their requests arrive."""
+        """A link becomes narrow during a download. A dozen chunks sent to it at once delay the
+        engine's requests by nine seconds, and callers give up before their requests arrive."""
         self.distributor.late_seconds = 1.0
         self.distributor.origin.set()
         at_once = 0
--- a/wasabidrum/weights/version_manager.py
+++ b/wasabidrum/weights/version_manager.py
@@ -1,4 +1,4 @@
-"""Brings the version, adapters and role that the files want to the engine beside this sidecar."""
+"""Drives the local engine to the version, adapters and role that the configuration asks for."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 class VersionManager:
-    """Owns the orders to one engine; one piece of work at a time."""
+    """Controls one engine; works on one target at a time."""
 
     __slots__ = ("_name", "_follower", "_engine", "_distributor", "_gate", "_guard", "_lock")
     __slots__ += ("_log", "_orders", "_previous", "_extras", "_logged")
@@ -58,7 +58,7 @@
         self.chunks_wanted = 0
 
     async def run(self) -> None:
-        """Follows the configuration for ever; another target ends the work on the one before."""
+        """Follows the configuration forever; a new target cancels the work on the previous one."""
         revision = 0
         target: Target | None = None
         work: asyncio.Task | None = None
@@ -68,8 +68,8 @@
             wanted = find_target(current, self._name)
             self._distributor.asker.revision = revision
             self._distributor.pacer.links = current.fleet.links
-            # Most revisions change something else; to start again for each of those would
-            # hold up a large version for as long as files keep changing.
+            # Most revisions do not change this target. Restarting on each of them would keep a
+            # large version from completing while the configuration keeps changing.
             if wanted == target:
                 continue
             if work is not None:
@@ -86,7 +86,7 @@
         await asyncio.wait((work,))
         self._gate.state.staged = ""
         self._gate.state.switching = False
-        # Peers must not wait here for chunks that nobody fetches any more.
+        # Peers must not wait here for chunks that are no longer being fetched.
         self._distributor.store.expected = set()
         self._distributor.store.wake_all()
         if self.fetching:
@@ -95,16 +95,16 @@
         self.fetching = ""
 
     async def _keep(self, target: Target) -> None:
-        """Brings the target about, and again whenever the engine has lost it."""
+        """Reconciles the engine with the target, and again whenever the engine has lost it."""
         async with self._orders:
-            # An order of the work before may still be on its way to the engine.
+            # A command of the previous target may still be in flight to the engine.
             pass
         while True:
             try:
                 await self._bring(target)
             except* Exception as errors:
-                # Whatever went wrong, the engine must not be left for good with nobody who
-                # brings it the next version; the reason is logged once and work goes on.
+                # Any error is survived: if this task ended, the engine would never receive
+                # another version. The reason is logged once and the work is retried.
                 self._report(target.version, repr(errors.exceptions[0]))
                 await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
@@ -116,13 +116,13 @@
     async def _bring(self, target: Target) -> None:
         endpoint = self._follower.current.fleet.endpoints.get(self._name)
         if endpoint is not None and endpoint.fencing:
-            # The engine itself refuses a process that comes back late.
+            # The engine rejects stale commands by fencing token, so the lock is not required.
             self._lock.try_take()
         else:
             await self._lock.take()
         state = self._gate.state
         if state.failed == target.version:
-            # Before the engine is asked, which may be dead of this very version.
+            # Evaluated before querying the engine, which this version may have crashed.
             order = self._gate.order_of(self._follower.current, target.model, target.spec.root)
             await self._gate.judge_failure(order, target.version)
         active, _ = await self._engine.versions()
@@ -159,7 +159,7 @@
         state.failed = ""
 
     async def _stage(self, target: Target, version: str, order: list[str]) -> None:
-        """Brings every chunk of a version to the engine."""
+        """Downloads every chunk that the engine lacks of a version into its staging area."""
         current = self._follower.current
         spec = current.fleet.models[target.model].versions[version]
         if self.fetching != version:
@@ -190,14 +190,14 @@
             return await self._engine.stage(version, manifest, self._follower.revision)
 
     async def _activate(self, target: Target, version: str) -> None:
-        """Has the engine switch, unless what is wanted changed while this process slept."""
+        """Activates a version, unless the target changed while this process was suspended."""
         await self._guard.confirm()
         current = self._follower.current
         if find_target(current, self._name) != target:
-            raise CodedError("superseded", "another version is wanted by now", 409)
+            raise CodedError("superseded", "the configuration now names another target", 409)
         order = asyncio.ensure_future(self._order_activate(version, current))
-        # An order that has left cannot be called back. When this work is cancelled the
-        # order ends first, so that the next one never races with it.
+        # A command that was sent cannot be recalled. It is shielded from cancellation and holds
+        # the command lock until it ends, so that the next command cannot overtake it.
         await asyncio.shield(order)
         self.active = version
         self.fetching = ""
@@ -208,7 +208,8 @@
             await self._engine.activate(version, current.revision)
 
     async def _stay(self, target: Target) -> None:
-        """Watches a version in force, proves it to others, and keeps adapters and role."""
+        """Monitors the active version, marks it proven after its soak time, and maintains
+        adapters and role."""
         state = self._gate.state
         state.staged = ""
         self.fetching = ""
@@ -227,14 +228,14 @@
         await asyncio.sleep(WATCH_SECONDS)
 
     async def _hold(self, target: Target) -> None:
-        """Keeps the engine on the version before, while the wanted one is stopped or failed."""
+        """Keeps the engine on the previous version while the target is stopped or has failed."""
         self.fetching = ""
         self._distributor.store.undecided = False
         self._distributor.store.expected = set()
         order = self._gate.order_of(self._follower.current, target.model, target.spec.root)
         previous = self._previous or await self._gate.read_common_version(order)
         if not self.active and previous:
-            # An engine that the version brought down comes back with nothing to answer with.
+            # An engine that the new version crashed restarts without any version loaded.
             await self._stage(target, previous, order)
             await self._activate(target, previous)
             self._log.write(Event.VERSION_RESTORED, version=previous)
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -1,11 +1,11 @@
-"""Holds the newest weights at an entry and gives them to the sidecars of its region.
-
-Load pattern: a version is named, and every sidecar wants it at once over a link that carries two
-copies in the time that the version has. Where sidecars pass it on to each other, each also sends
-about one copy over the same link, and all wait for the busiest; an engine that is added or
-restarted takes that link from its neighbours again. Entries have far wider links. So the entries
-of a region bring one copy in, by the plan that sidecars have among themselves, and each sidecar
-takes it from them at the full rate of its own link.
+"""Caches the newest weights at an entry and serves them to the sidecars of its region.
+
+Load pattern: a version is published, and every sidecar fetches it at once over a link that can
+carry two copies before the version's deadline. If sidecars served each other, each would also send
+about one copy over the same link, and all would wait for the busiest; an engine that is added or
+restarted would load its neighbours' links again. Entries have far wider links. So the entries of a
+region fetch one copy between them, by the same plan that sidecars use among themselves, and each
+sidecar fetches it from them at the full rate of its own link.
 """
 
 import asyncio
@@ -43,34 +43,34 @@
 )
 from .version_download import VersionDownload
 
-# The part of an entry's link that weights may take while it serves callers.
+# The fraction of an entry's link that weights may use while it serves callers.
 LINK_FRACTION = 0.5
-# How many relays of a region hold each chunk: one serves it, the other where that one is gone.
+# Number of relays in a region that hold each chunk: the second serves it if the first is down.
 HOLDERS_OF_CHUNK = 2
-# Of one version; the version before stays beside it until the newer one is in force.
+# Limit for one version; the previous version stays in memory until the newer one is active.
 MOST_HELD_BYTES = CHUNK_MEMORY_BYTES // 2
 LOOK_SECONDS = 0.1
 PAUSE_SECONDS = 0.3
-# How often a relay that holds its part checks it against who else there is.
+# How often a relay whose share is complete recomputes it from the current members.
 REPLAN_SECONDS = 2.0
 
 
 class RelayState(typing.Protocol):
-    """What a relay needs to know of the platform."""
+    """The platform state that a relay reads."""
 
     @property
     def configuration(self) -> PublishedConfiguration | None:
-        """The configuration in force, or None before the first."""
+        """The active configuration, or None before the first one is read."""
 
     @property
     def endpoints(self) -> EndpointRegistry:
         """The endpoints that are registered."""
 
     def newest_version(self, model: str) -> int:
-        """Returns the newest version named of a model; zero where none was."""
+        """Returns the newest published version of a model, or zero if there is none."""
 
     def newest_seconds(self, model: str) -> float:
-        """Returns for how long the newest version of a model has been wanted; zero if none is."""
+        """Returns the seconds since the newest version of a model was published; zero if none."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     """The weights that a relay is to hold.
 
     Attributes:
-      version: Zero for whichever the origin has, as long as none was named.
+      version: Zero, while no version has been published, for the one that the origin has.
     """
 
     service: str
@@ -88,13 +88,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RelayEffort:
-    """How far the work for one target has come.
+    """Progress of the work for one target.
 
     Attributes:
-      progressed_at: When a chunk came last, or the work began, by the event loop's clock.
+      progressed_at: When the last chunk arrived, or the work began, by the event loop's clock.
       digests: The chunks that this relay is to hold; empty before they are known.
-      held: How many of them are here.
-      complete: All of them have been here.
+      held: The number of them that are in the store.
+      complete: Whether all of them have been in the store.
     """
 
     progressed_at: float
@@ -104,7 +104,7 @@
 
 
 class WeightsRelay:
-    """Owns an entry's part in the distribution of one service's weights."""
+    """Runs an entry's part in the distribution of one service's weights."""
 
     def __init__(
         self,
@@ -115,7 +115,12 @@
         in_progress: collections.abc.Callable[[], int],
         log: EventLog,
     ) -> None:
-        """Takes whom to ask for the data centres of all relays, and for requests in progress."""
+        """Creates a relay.
+
+        Args:
+          find_relays: Returns the data centres of all relays by name.
+          in_progress: Returns the number of requests in progress at this entry.
+        """
         self._deployment = deployment
         self._state = state
         self._find_relays = find_relays
@@ -136,21 +141,21 @@
         self._distributor.pacer.links = LinkSpec(weights_fraction_instance=LINK_FRACTION)
         self._pieces: PieceList | None = None
         self._effort = RelayEffort(0.0)
-        # What the members were last taken from.
+        # The inputs from which the members were last computed.
         self._members_for: tuple[object, ...] = ()
 
     @property
     def held_version(self) -> int:
-        """The version of which this relay holds its part; zero while there is none."""
+        """The version of which this relay holds its complete share; zero if none."""
         return self._pieces.version if self._pieces is not None and self._effort.complete else 0
 
     @property
     def routes(self) -> list[tuple]:
-        """What sidecars and other relays ask for."""
+        """The routes that sidecars and other relays request."""
         return make_chunk_routes(self._distributor, self._readings)
 
     async def run(self) -> None:
-        """Holds what is wanted, for ever."""
+        """Keeps this relay's share of the newest version in memory, forever."""
         target: RelayTarget | None = None
         work: asyncio.Task[None] | None = None
         choice = VersionChoice(may_resume=False)
@@ -174,7 +179,7 @@
             (error,) = await asyncio.gather(work, return_exceptions=True)
             if isinstance(error, Exception):
                 self._log.write(Event.TASK_FAILED, task="weights", reason=repr(error)[:500])
-        # Until its pieces are known, any chunk may belong to the version that comes next.
+        # Until the next version's piece list is known, any chunk may belong to it.
         store = self._distributor.store
         store.undecided = True
         store.expected = set()
@@ -187,7 +192,7 @@
             if setting is not None:
                 newest = self._state.newest_version(setting.model)
                 version = self._choose(choice, newest)
-                # Sidecars may ask for pieces of the newer version, whose list is not here yet.
+                # Sidecars may request pieces of the newer version, whose list is not known yet.
                 if version != newest:
                     self._distributor.store.undecided = True
                 return RelayTarget(service.name, setting, version)
@@ -205,7 +210,7 @@
         return choice.choose(newest, share, now - effort.progressed_at, complete)
 
     def _update_members(self, service: str) -> None:
-        """Takes who else there is, where that has changed since it was last looked at."""
+        """Updates members and relays if they have changed since the last call."""
         book, relays = self._state.endpoints, self._find_relays()
         known = (service, book.version, relays)
         if known == self._members_for:
@@ -275,7 +280,7 @@
             try:
                 pieces = await self._origin.read_list(target.setting.model, wanted)
             except CodedError:
-                # Sidecars know the list as well, and the origin may be away for long.
+                # Sidecars may know the list too, and the origin may be down for a long time.
                 near = [m for m in members if m.instance.region == own.region]
                 others = [m for m in near if m.name != own.host and m not in asked]
                 pieces = await self._ask_pieces(others[:MOST_ASKED], wanted)
@@ -295,10 +300,10 @@
 
 
 def own_chunks(plan: ChunkPlan, region: str, name: str, most: int) -> list[int]:
-    """Returns which chunks a relay of a region is to hold.
+    """Returns the indexes of the chunks that a relay is to hold.
 
     Args:
-      most: How many fit; the rest sidecars bring in themselves.
+      most: How many fit into its memory; sidecars fetch the rest themselves.
     """
     own = plan.regions.get(region)
     if own is None:
@@ -308,7 +313,7 @@
 
 
 async def keep_nothing(index: int, content: bytes) -> None:
-    """Delivers a chunk that is held in the store already, and nowhere else."""
+    """Does nothing with a delivered chunk, because the store holds it already."""
 
 
 def make_weights_relay(
@@ -319,5 +324,5 @@
     in_progress: collections.abc.Callable[[], int],
     log: EventLog,
 ) -> WeightsRelay:
-    """Returns a relay that has not started; see WeightsRelay."""
+    """Returns a relay that is not running yet; see WeightsRelay."""
     return WeightsRelay(deployment, client, state, find_relays, in_progress, log)
--- a/wasabidrum/weights/weights_side.py
+++ b/wasabidrum/weights/weights_side.py
@@ -1,4 +1,4 @@
-"""The part of a sidecar that has to do with weights, put together."""
+"""Builds and wires the weight distribution components of one sidecar."""
 
 import collections.abc
 import dataclasses
@@ -26,21 +26,21 @@
 
 
 class WeightsHandler(web.RequestHandler):
-    """GET /internal/weights: what an operator needs to see why a rollout does not move."""
+    """GET /internal/weights: diagnostics for operators when a rollout makes no progress."""
 
     def initialize(self, weights: "WeightsSide") -> None:
-        """Takes the weights' part from the route."""
+        """Stores the components passed by the route."""
         self.weights = weights
 
     def get(self) -> None:
-        """Answers with what was moved, what is held, and what is waited for."""
+        """Responds with transfer counts, chunks held, and chunks still expected."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.weights.describe()))
 
 
 @dataclasses.dataclass(slots=True)
 class WeightsSide:
-    """Store, distribution, rollout and orders of one sidecar."""
+    """Distribution, rollout and engine control of one sidecar."""
 
     distributor: Distributor
     gate: RolloutGate
@@ -50,7 +50,7 @@
     manager: VersionManager
 
     def routes(self) -> list[tuple]:
-        """Returns the routes that the sidecar's server adds."""
+        """Returns the routes to add to the sidecar's HTTP server."""
         return [
             (r"/internal/chunks/([0-9a-f]+)", ChunkHandler, {"distributor": self.distributor}),
             (r"/internal/weights", WeightsHandler, {"weights": self}),
@@ -62,7 +62,7 @@
         tasks.start("versions", self.manager.run())
 
     def complete_status(self, status: Status) -> Status:
-        """Returns a status with what it says of weights filled in."""
+        """Returns a copy of a status with the fields about weights filled in."""
         state = self.gate.state
         return msgspec.structs.replace(
             status,
@@ -78,7 +78,7 @@
         )
 
     def describe(self) -> dict[str, object]:
-        """Returns the facts for operators."""
+        """Returns the diagnostics served at /internal/weights."""
         distributor = self.distributor
         return dataclasses.asdict(distributor.counts) | {
             "chunks_in_memory": distributor.store.count,
@@ -102,7 +102,7 @@
     in_progress: collections.abc.Callable[[], int],
     log: EventLog,
 ) -> WeightsSide:
-    """Returns the weights' part of a sidecar that has not started."""
+    """Returns the components of one sidecar; their background tasks are not started yet."""
     urls = [url for url in (settings.platform.store, settings.platform.origin) if url]
     origin = OriginDraw([make_blob_source(client, url) for url in urls])
     distributor = Distributor(settings, membership, client, origin, in_progress, log)
