--- a/wasabidrum/observe/bounded_output.py
+++ b/wasabidrum/observe/bounded_output.py
@@ -4,7 +4,7 @@
 import os
 
 # Room for some thousand lines, for a reader that is slow for a moment.
-LARGEST_BACKLOG_BYTES = 1_048_576
+MAX_BACKLOG_BYTES = 1_048_576
 
 
 class BoundedOutput:
@@ -34,7 +34,7 @@
             content = self._write_some(content)
             if not content:
                 return
-        elif self._size + len(content) > LARGEST_BACKLOG_BYTES:
+        elif self._size + len(content) > MAX_BACKLOG_BYTES:
             self.dropped += 1
             return
         self._backlog.append(content)
--- a/wasabidrum/observe/bounded_output_test.py
+++ b/wasabidrum/observe/bounded_output_test.py
@@ -4,7 +4,7 @@
 import os
 import unittest
 
-from .bounded_output import LARGEST_BACKLOG_BYTES, BoundedOutput
+from .bounded_output import MAX_BACKLOG_BYTES, BoundedOutput
 
 LINE = "x" * 999
 
@@ -26,7 +26,7 @@
     async def test_a_reader_that_stops_does_not_stop_the_writer(self) -> None:
         """The reader of the daemon's log hangs and the pipe fills. With blocking writes the daemon
         would answer no requests any more."""
-        count = 2 * LARGEST_BACKLOG_BYTES // 1000
+        count = 2 * MAX_BACKLOG_BYTES // 1000
         for _ in range(count):
             self.output.write(LINE)
         self.assertGreater(self.output.dropped, count // 3)
--- a/wasabidrum/observe/event_memory.py
+++ b/wasabidrum/observe/event_buffer.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-LARGEST_MEMORY_BYTES = 2 * 1_048_576
+MAX_BUFFER_BYTES = 2 * 1_048_576
 # Memory per line besides its characters: the string's header and its slot in the deque.
 LINE_OVERHEAD_BYTES = 57
 
 
-class EventMemory:
+class EventBuffer:
     """A buffer of event lines with a limit in bytes; evicts the oldest lines first.
 
     It serves queries because instances have no disks, and logs may be shipped late or not at all.
@@ -18,7 +18,7 @@
 
     __slots__ = ("_lines", "_bytes", "_limit")
 
-    def __init__(self, limit: int = LARGEST_MEMORY_BYTES) -> None:
+    def __init__(self, limit: int = MAX_BUFFER_BYTES) -> None:
         self._lines: collections.deque[str] = collections.deque()
         self._bytes = 0
         self._limit = limit
@@ -43,8 +43,8 @@
         """Returns the events of a request and of its attempts, oldest first."""
         # Decoding every line would block the event loop for tens of milliseconds, so the few
         # candidates are found by a text search first.
-        mark = msgspec.json.encode(request_id).decode()[1:-1]
-        events = (msgspec.json.decode(line) for line in list(self._lines) if mark in line)
+        fragment = msgspec.json.encode(request_id).decode()[1:-1]
+        events = (msgspec.json.decode(line) for line in list(self._lines) if fragment in line)
         return [event for event in events if is_of(str(event.get("request", "")), request_id)]
 
 
--- a/wasabidrum/observe/event_memory_test.py
+++ b/wasabidrum/observe/event_buffer_test.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .event_memory import EventMemory
+from .event_buffer import EventBuffer
 
 
 def line(number: int, request: str) -> str:
@@ -12,11 +12,11 @@
     return msgspec.json.encode({"t": float(number), "request": request}).decode()
 
 
-class EventMemoryTest(unittest.TestCase):
+class EventBufferTest(unittest.TestCase):
     """Logged events are found by request, and the size stays bounded."""
 
     def test_finds_a_request_with_its_attempts_and_no_other(self) -> None:
-        memory = EventMemory()
+        memory = EventBuffer()
         for number, request in enumerate(("r1", "r1.a", "r12", "r2", 'r"')):
             memory.add(line(number, request))
         self.assertEqual([event["t"] for event in memory.find("r1")], [0.0, 1.0])
@@ -26,7 +26,7 @@
     def test_stays_bounded_whatever_is_logged(self) -> None:
         """A caller floods the daemon with requests, each refused with a long reason. Without a
         limit in bytes the daemon would exceed its 32 MB of memory and be killed."""
-        memory = EventMemory(limit=10_000)
+        memory = EventBuffer(limit=10_000)
         for number in range(1000):
             memory.add(line(number, "r" * (number % 300)))
             self.assertLessEqual(memory.bytes_held, 10_000)
--- a/wasabidrum/observe/event_log.py
+++ b/wasabidrum/observe/event_log.py
@@ -8,8 +8,8 @@
 
 from .bounded_output import BoundedOutput
 from .event import Event
-from .event_memory import EventMemory
-from .line_budget import LineBudget
+from .event_buffer import EventBuffer
+from .line_rate_limit import LineRateLimit
 from .metrics import Metrics
 
 # Rate-limited events: successful requests, with one or two lines each, and messages of libraries,
@@ -37,13 +37,13 @@
       metrics: The metrics counted from events.
     """
 
-    __slots__ = ("_logger", "_name", "_budget", "memory", "metrics")
+    __slots__ = ("_logger", "_name", "_rate_limit", "memory", "metrics")
 
     def __init__(self, logger: logbook.Logger, name: str) -> None:
         self._logger = logger
         self._name = name
-        self._budget = LineBudget()
-        self.memory = EventMemory()
+        self._rate_limit = LineRateLimit()
+        self.memory = EventBuffer()
         self.metrics = Metrics()
 
     @property
@@ -55,10 +55,10 @@
         """Writes an event with its fields; routine events are limited in number per second."""
         now = time.time()
         self.metrics.count_event(event, facts)
-        dropped = self._budget.take_dropped(now)
+        dropped = self._rate_limit.take_dropped(now)
         if dropped:
             self._write(now, Event.LINES_LEFT_OUT, {"lines": dropped})
-        if event not in ROUTINE_EVENTS or self._budget.allow(now):
+        if event not in ROUTINE_EVENTS or self._rate_limit.allow(now):
             self._write(now, event, facts)
 
     def _write(self, now: float, event: Event, facts: dict[str, object]) -> None:
--- a/wasabidrum/observe/library_lines.py
+++ b/wasabidrum/observe/library_lines.py
@@ -10,7 +10,7 @@
 from .event import Event
 from .event_log import EventLog
 
-LONGEST_REASON = 300
+MAX_REASON_LENGTH = 300
 
 
 class LibraryHandler(logging.Handler):
@@ -29,7 +29,7 @@
             Event.LIBRARY_MESSAGE,
             logger=record.name,
             level=record.levelname.lower(),
-            reason=reason[:LONGEST_REASON],
+            reason=reason[:MAX_REASON_LENGTH],
         )
 
 
--- a/wasabidrum/observe/library_lines_test.py
+++ b/wasabidrum/observe/library_lines_test.py
@@ -10,7 +10,7 @@
 from .library_lines import LibraryHandler
 
 
-class LibraryLinesTest(unittest.TestCase):
+class LibraryLoggingTest(unittest.TestCase):
     """A library logs an error with its traceback."""
 
     def test_a_trace_becomes_one_line(self) -> None:
--- a/wasabidrum/observe/line_budget.py
+++ b/wasabidrum/observe/line_rate_limit.py
@@ -10,7 +10,7 @@
 ROUTINE_LINES_PER_SECOND = 600
 
 
-class LineBudget:
+class LineRateLimit:
     """Counts the routine lines that may still be written in the current second."""
 
     __slots__ = ("_second", "_left", "_dropped")
--- a/wasabidrum/observe/metrics.py
+++ b/wasabidrum/observe/metrics.py
@@ -8,7 +8,7 @@
 from .event import Event
 
 PREFIX = "wasabidrum_"
-REQUEST_ENDS = frozenset(
+REQUEST_END_EVENTS = frozenset(
     (Event.REQUEST_DONE, Event.REQUEST_REFUSED, Event.REQUEST_FAILED, Event.REQUEST_CANCELLED)
 )
 # The latency targets are 1.2 s to the first token and half a minute to the end of a request.
@@ -59,7 +59,7 @@
     def count_event(self, event: Event, facts: dict[str, object]) -> None:
         """Counts an event, and updates the request metrics if it ends a caller's request."""
         self._events.labels(event.name.lower()).inc()
-        if event not in REQUEST_ENDS:
+        if event not in REQUEST_END_EVENTS:
             return
         self._requests.labels(facts.get("outcome", ""), facts.get("code", "")).inc()
         self._tokens.inc(facts.get("tokens", 0))
--- a/wasabidrum/weights/chunk_handler.py
+++ b/wasabidrum/weights/chunk_handler.py
@@ -12,11 +12,11 @@
 if typing.TYPE_CHECKING:
     from .distributor import Distributor
 
-LARGEST_SLICE_BYTES = 65_536
+MAX_SLICE_BYTES = 65_536
 # A token that leaves the instance waits for the slice that is on the link. A chunk of 48 KiB sent
 # in one piece occupies a link of 4.7 Mbit/s for 84 ms; a slice of an eightieth of a second, for 13.
 SLICE_SECONDS = 0.0125
-LONGEST_WAIT_SECONDS = 30.0
+MAX_WAIT_SECONDS = 30.0
 SLICE_TIMEOUT_SECONDS = 5.0
 
 
@@ -28,7 +28,7 @@
         self.distributor = distributor
         self.closed = asyncio.Event()
         if headers.ASKER in self.request.headers:
-            distributor.record_asked()
+            distributor.record_request()
 
     def head(self, digest: str) -> None:
         """Responds at once with the chunk's state."""
@@ -42,7 +42,7 @@
     async def get(self, digest: str) -> None:
         """Waits for the chunk and sends it, paced by the links on its path."""
         store = self.distributor.store
-        wait = min(float(self.get_query_argument("wait", "0")), LONGEST_WAIT_SECONDS)
+        wait = min(float(self.get_query_argument("wait", "0")), MAX_WAIT_SECONDS)
         loop = asyncio.get_running_loop()
         ends = loop.time() + wait
         while (content := store.get(digest)) is None:
@@ -73,13 +73,13 @@
             await asyncio.wait_for(self.flush(), SLICE_TIMEOUT_SECONDS)
             view = memoryview(content)
             count = max(
-                1, round(reserved.seconds / SLICE_SECONDS), -(-len(view) // LARGEST_SLICE_BYTES)
+                1, round(reserved.seconds / SLICE_SECONDS), -(-len(view) // MAX_SLICE_BYTES)
             )
             size = -(-len(view) // count)
             for place, start in enumerate(range(0, len(view), size)):
                 # A slice is sent only when its bytes would have passed the link at that rate.
-                leaves = reserved.start + reserved.seconds * (place + 1) / count
-                if (delay := leaves - loop.time()) > 0:
+                due_at = reserved.start + reserved.seconds * (place + 1) / count
+                if (delay := due_at - loop.time()) > 0:
                     await asyncio.sleep(delay)
                 self.write(bytes(view[start : start + size]))
                 # Without a timeout, a receiver that stops reading would keep this task and its
--- a/wasabidrum/weights/peer_asker_test.py
+++ b/wasabidrum/weights/chunk_requester_test.py
@@ -5,14 +5,14 @@
 from .distributor_test import FixedMembership, make_distributor
 
 
-class LeftListTest(unittest.IsolatedAsyncioTestCase):
+class DelistedPeerTest(unittest.IsolatedAsyncioTestCase):
     """A request is waiting at a peer while the platform's list changes."""
 
     async def test_one_that_left_the_list_is_waited_at_no_longer(self) -> None:
         """A suspended sidecar receives a request just before the platform removes it from the list.
         It cannot be probed after that, and engines lack one chunk until it resumes."""
-        asker = make_distributor("a").asker
+        requester = make_distributor("a").asker
         membership = FixedMembership()
-        asker._membership = membership
+        requester._membership = membership
         membership.members = [view for view in membership.members if view.name != "b"]
-        self.assertTrue(await asker._holds_up("b", "digest"))
+        self.assertTrue(await requester._should_abandon("b", "digest"))
--- a/wasabidrum/weights/chunk_store.py
+++ b/wasabidrum/weights/chunk_store.py
@@ -11,13 +11,13 @@
 
     Attributes:
       expected: The digests of the chunks that are being fetched or about to be.
-      drawing: The digests of the chunks that are being fetched from the origin.
-      undecided: Whether a version is wanted whose chunk list is not known yet, so that any chunk
-        may turn out to be expected.
+      fetching_from_origin: The digests of the chunks that are being fetched from the origin.
+      chunks_unknown: Whether a version is wanted whose chunk list is not known yet, so that any
+        chunk may turn out to be expected.
     """
 
     __slots__ = ("_limit", "_contents", "_held", "_wanted", "_waiters", "_bytes", "expected")
-    __slots__ += ("drawing", "undecided")
+    __slots__ += ("fetching_from_origin", "chunks_unknown")
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -27,8 +27,8 @@
         self._waiters: dict[str, set[asyncio.Future[None]]] = {}
         self._bytes = 0
         self.expected: set[str] = set()
-        self.drawing: set[str] = set()
-        self.undecided = True
+        self.fetching_from_origin: set[str] = set()
+        self.chunks_unknown = True
 
     @property
     def size(self) -> int:
@@ -61,7 +61,7 @@
                 self._drop(choose_victim(self._held.values()).digest)
         self.wake(digest)
 
-    def want(self, digests: collections.abc.Iterable[str]) -> None:
+    def set_wanted(self, digests: collections.abc.Iterable[str]) -> None:
         """Sets which chunks belong to an active or wanted version."""
         self._wanted = frozenset(digests)
         for held in self._held.values():
--- a/wasabidrum/weights/orderer_lock.py
+++ b/wasabidrum/weights/command_lock.py
@@ -16,14 +16,14 @@
 RETRY_SECONDS = 0.5
 
 
-class OrdererLock:
+class CommandLock:
     """The exclusive right to command one endpoint; held until released or the process ends."""
 
     __slots__ = ("_address", "_socket", "_log")
 
     def __init__(self, endpoint_url: str, log: EventLog) -> None:
-        place = urllib.parse.urlsplit(endpoint_url).netloc
-        self._address = f"\0wasabidrum/orderer/{place}"
+        host_and_port = urllib.parse.urlsplit(endpoint_url).netloc
+        self._address = f"\0wasabidrum/orderer/{host_and_port}"
         self._socket: socket.socket | None = None
         self._log = log
 
@@ -32,25 +32,25 @@
         """Whether this process holds the lock."""
         return self._socket is not None
 
-    def try_take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Tries to acquire the lock; returns whether this process holds it now."""
         if self._socket is not None:
             return True
-        taken = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        acquired = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            taken.bind(self._address)
+            acquired.bind(self._address)
         except OSError:
-            taken.close()
+            acquired.close()
             return False
-        self._socket = taken
+        self._socket = acquired
         return True
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Waits until the lock is acquired."""
-        told = False
-        while not self.try_take():
-            if not told:
-                told = True
+        logged = False
+        while not self.try_acquire():
+            if not logged:
+                logged = True
                 self._log.write(Event.ORDERER_WAITS, lock=self._address[1:])
             await asyncio.sleep(RETRY_SECONDS)
 
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -14,7 +14,7 @@
 from .chunk_state import ChunkState
 from .distributor import Distributor
 from .origin_draw import OriginDraw
-from .peer_chunk_client import HoldsUp, PeerAnswer
+from .peer_chunk_client import PeerAnswer, SilenceCheck
 
 CONTENT = b"a chunk"
 DIGEST = digest_of(CONTENT)
@@ -47,20 +47,20 @@
     def __init__(self, fleet: dict[str, Distributor]) -> None:
         self._fleet = fleet
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
         """See PeerChunkClient."""
         peer = next(d for name, d in self._fleet.items() if f"{name}:" in url)
         if not probe:
-            peer.record_asked()
+            peer.record_request()
         await peer.store.wait(digest, wait)
         content = peer.store.get(digest)
         return PeerAnswer(peer.state_of(digest), content)
@@ -102,7 +102,7 @@
         for distributor in fleet.values():
             distributor.asker.peers = DirectPeers(fleet)
             distributor.store.expected = {DIGEST}
-            distributor.begin()
+            distributor.begin_version()
         began = asyncio.get_running_loop().time()
 
         async def wait_then_fetch(name: str, seconds: float) -> bytes:
@@ -125,14 +125,14 @@
         self._contents = contents
         self._open = 0
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
         """See PeerChunkClient."""
@@ -156,7 +156,7 @@
         distributor.asker.relays = frozenset(("b",))
         distributor.asker.holders = frozenset(("b",))
         distributor.asker.pace.record(49_152, 2, 0.4, 2.0)
-        distributor.begin()
+        distributor.begin_version()
         await asyncio.gather(*(distributor.fetch(plan, digest) for digest in contents))
         return peers
 
@@ -173,16 +173,16 @@
         self.assertGreater(min(peers.rates), 1_000_000.0)
 
 
-class UnknownChunkTest(unittest.IsolatedAsyncioTestCase):
+class UnknownVersionTest(unittest.IsolatedAsyncioTestCase):
     """An entry receives a request for a chunk of a version that it does not know yet."""
 
     async def test_whoever_asks_is_kept_waiting_and_does_not_pass_the_entry_over(self) -> None:
         """If the entry answered that it lacks the chunk, sidecars would skip it for four seconds
         and fetch from the origin what the entry is about to fetch."""
         relay = make_distributor("a")
-        relay.store.undecided = False
+        relay.store.chunks_unknown = False
         self.assertIs(relay.state_of(DIGEST), ChunkState.LACKING)
-        relay.hears_late = True
+        relay.learns_versions_late = True
         self.assertIs(relay.state_of(DIGEST), ChunkState.COMING)
-        relay.store.want({DIGEST})
+        relay.store.set_wanted({DIGEST})
         self.assertIs(relay.state_of(DIGEST), ChunkState.LACKING)
--- a/wasabidrum/weights/engine_extras.py
+++ b/wasabidrum/weights/engine_configurator.py
@@ -5,13 +5,13 @@
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.configuration_follower import ConfigurationFollower
-from .clock_guard import ClockGuard
 from .distributor import Distributor
+from .suspension_guard import SuspensionGuard
 from .target import Target, region_of_endpoints
 from .version_download import VersionDownload, fetch_manifest
 
 
-class EngineExtras:
+class EngineConfigurator:
     """Tracks the adapters and the role that this process has set on its engine."""
 
     __slots__ = ("_follower", "_engine", "_distributor", "_guard", "_log", "_adapters", "_role")
@@ -21,7 +21,7 @@
         follower: ConfigurationFollower,
         engine: ModelEngine,
         distributor: Distributor,
-        guard: ClockGuard,
+        guard: SuspensionGuard,
         log: EventLog,
     ) -> None:
         self._follower = follower
@@ -32,7 +32,7 @@
         self._adapters: dict[str, str] = {}
         self._role = ""
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Clears the tracked state after the engine has restarted without adapters and role."""
         self._adapters = {}
         self._role = ""
@@ -46,9 +46,9 @@
             self._log.write(Event.ROLE_ORDERED, role=target.role)
         for name, root in target.adapters:
             if self._adapters.get(name) != root:
-                await self._bring_adapter(target, name, root)
+                await self._load_adapter(target, name, root)
 
-    async def _bring_adapter(self, target: Target, name: str, root: str) -> None:
+    async def _load_adapter(self, target: Target, name: str, root: str) -> None:
         current = self._follower.current
         region_of = region_of_endpoints(current, target.model)
         origin_region = current.fleet.links.origin_region
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -30,14 +30,14 @@
 # How long an engine may take to load after a command before the work starts again. It finishes its
 # running requests first, which last some seconds at most.
 LOAD_SECONDS = 7.0
-MOST_VERIFICATIONS = 5
+MAX_VERIFICATIONS = 5
 # Longest verification whose result is trusted. Reading back takes about a millisecond per piece on
 # the same instance; if it takes longer than this, the process was most likely suspended meanwhile.
-FRESH_SECONDS = 2.0
+MAX_VERIFY_SECONDS = 2.0
 # Interval at which the choice of the version to stage is reconsidered.
-LOOK_SECONDS = 0.25
+CHOICE_SECONDS = 0.25
 # The version being staged, and the one that was set aside for it.
-VERSIONS_KNOWN = 2
+MAX_STAGED_VERSIONS = 2
 
 
 class EngineController:
@@ -72,33 +72,33 @@
         self._log = log
         self._bound = bound
         self._staged: dict[int, StagedVersion] = {}
-        self._reason = ""
-        self._bringing = 0
+        self._logged_reason = ""
+        self._staging_version = 0
         self._accepted = 0
         self._awaits_turn = False
         # When the work for the current version began and when it last made progress.
         self._begun_at = 0.0
-        self._moved_at = 0.0
+        self._progressed_at = 0.0
         self.report: EngineReport | None = None
         self.switching = False
         self.on_report = ignore_report
         self.retirement = WeightsRetirement()
-        listed.on_members = self._take_holders
-        listed.on_relays = self._take_relays
+        listed.on_members = self._update_holders
+        listed.on_relays = self._update_relays
 
     async def watch(self) -> None:
         """Polls the engine's report, forever."""
-        lost = False
+        unreachable = False
         while True:
             try:
                 self.report = await self._engine.report(self._listed.layers)
-                if lost:
-                    lost = False
+                if unreachable:
+                    unreachable = False
                     self._log.write(Event.ENGINE_BACK, weights=self.report.weights)
             except CodedError as error:
                 self.report = None
-                if not lost:
-                    lost = True
+                if not unreachable:
+                    unreachable = True
                     self._log.write(Event.ENGINE_LOST, reason=str(error)[:200])
             self.on_report()
             await asyncio.sleep(REPORT_SECONDS)
@@ -109,22 +109,22 @@
         store = self._distributor.store
         while True:
             version = self._choose(choice)
-            self._begun_at = self._moved_at = asyncio.get_running_loop().time()
-            work = asyncio.ensure_future(self._keep(version))
+            self._begun_at = self._progressed_at = asyncio.get_running_loop().time()
+            work = asyncio.ensure_future(self._retry_forever(version))
             try:
                 while not work.done() and self._choose(choice) == version:
                     # Peers may request pieces of a newer version, whose list is not known yet.
-                    store.undecided = store.undecided or version != self._listed.wanted
+                    store.chunks_unknown = store.chunks_unknown or version != self._listed.wanted
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(
-                            self._listed.wait_other_than(self._listed.wanted), LOOK_SECONDS
+                            self._listed.wait_for_change(self._listed.wanted), CHOICE_SECONDS
                         )
             finally:
                 work.cancel()
                 (error,) = await asyncio.gather(work, return_exceptions=True)
                 if isinstance(error, Exception):
                     # Any error is survived; the engine would receive no further version otherwise.
-                    self._tell(version, repr(error))
+                    self._log_failure(version, repr(error))
                 # Peers must not wait here for pieces that are no longer being fetched.
                 store.expected = set()
                 store.wake_all()
@@ -138,35 +138,37 @@
         complete = staged.version in (self._accepted, held)
         idle = 0.0
         if not self._awaits_turn:
-            idle = asyncio.get_running_loop().time() - max(staged.progressed_at, self._moved_at)
+            idle = asyncio.get_running_loop().time() - max(
+                staged.progressed_at, self._progressed_at
+            )
         return choice.choose(self._listed.wanted, staged.share, idle, complete)
 
-    async def _keep(self, wanted: int) -> None:
+    async def _retry_forever(self, wanted: int) -> None:
         while True:
             try:
-                await self._bring(wanted)
-                self._reason = ""
+                await self._stage_and_load(wanted)
+                self._logged_reason = ""
             except* CodedError as errors:
-                self._tell(wanted, str(errors.exceptions[0]))
+                self._log_failure(wanted, str(errors.exceptions[0]))
             await asyncio.sleep(PAUSE_SECONDS)
 
-    def _take_holders(self) -> None:
-        if self._bringing:
-            self._distributor.asker.holders = self._listed.holders(self._bringing)
+    def _update_holders(self) -> None:
+        if self._staging_version:
+            self._distributor.asker.holders = self._listed.holders(self._staging_version)
 
-    def _take_relays(self) -> None:
+    def _update_relays(self) -> None:
         self._distributor.asker.relays = frozenset(self._listed.relays)
 
-    def _tell(self, wanted: int, reason: str) -> None:
-        if reason != self._reason:
-            self._reason = reason
+    def _log_failure(self, wanted: int, reason: str) -> None:
+        if reason != self._logged_reason:
+            self._logged_reason = reason
             self._log.write(Event.VERSION_FAILED, version=wanted, reason=reason[:300])
 
-    async def _bring(self, wanted: int) -> None:
+    async def _stage_and_load(self, wanted: int) -> None:
         if self.report is None or not self._listed.ready:
             return
-        staged = await self._stage_for(wanted)
-        version = self._bringing = staged.version
+        staged = await self._get_staged(wanted)
+        version = self._staging_version = staged.version
         if self.report is None or self.report.weights == version:
             return
         # After a restart of this process its engine may still be loading an earlier command.
@@ -176,23 +178,23 @@
         # fetched; the origin may fail before another instance has fetched them.
         if self._listed.leaving:
             return
-        self._take_holders()
+        self._update_holders()
         if staged.share < 1.0:
             await self._listed.wait_for_relays()
-        beside = asyncio.gather(self._end_runs_early(staged), self._retire_old_weights(staged))
+        beside = asyncio.gather(self._drain_early(staged), self._retire_old_weights(staged))
         try:
             listed = self._listed
-            await staged.bring(listed.region_of, listed.relays, listed.origin_region)
+            await staged.fetch_missing(listed.region_of, listed.relays, listed.origin_region)
             self._log.write(Event.VERSION_STAGED, version=version, chunks=0)
             await self._wait_for_turn(version)
             if self.report is not None and not self.report.busy:
-                await self._order(staged, version)
+                await self._load(staged, version)
         finally:
             beside.cancel()
             await asyncio.gather(beside, return_exceptions=True)
             self._set_switching(False)
 
-    async def _end_runs_early(self, staged: StagedVersion) -> None:
+    async def _drain_early(self, staged: StagedVersion) -> None:
         """Makes entries stop placing requests here shortly before a version is complete."""
         answering = self._listed.answering
         turn = turn_of(staged.version, self._listed.own, answering)
@@ -228,11 +230,11 @@
             if layer is None or staged.share >= 1.0:
                 continue
             try:
-                await self._order_layer(staged, layer)
+                await self._load_layer(staged, layer)
             except CodedError as error:
-                self._tell(staged.version, f"old weights not unloaded: {error}")
+                self._log_failure(staged.version, f"old weights not unloaded: {error}")
 
-    async def _order_layer(self, staged: StagedVersion, layer: int) -> None:
+    async def _load_layer(self, staged: StagedVersion, layer: int) -> None:
         version = staged.version
         await self._verify(staged, version, staged.pieces_of(layer, self._listed.layers))
         part = range(layer, layer + 1)
@@ -260,13 +262,13 @@
         finally:
             self._awaits_turn = False
             # The time spent waiting does not count as a stall.
-            self._moved_at = asyncio.get_running_loop().time()
+            self._progressed_at = asyncio.get_running_loop().time()
 
     def _find_staged(self, wanted: int) -> StagedVersion | None:
         """Returns the staging state of a version, or of the newest one if zero is given."""
         return self._staged.get(wanted or max(self._staged, default=0))
 
-    async def _stage_for(self, wanted: int) -> StagedVersion:
+    async def _get_staged(self, wanted: int) -> StagedVersion:
         staged = self._find_staged(wanted)
         if staged is not None:
             return staged
@@ -277,9 +279,9 @@
             Event.VERSION_WANTED, version=pieces.version, revision=wanted, adopted=adopted
         )
         self._staged[pieces.version] = staged
-        for version in sorted(self._staged)[:-VERSIONS_KNOWN]:
+        for version in sorted(self._staged)[:-MAX_STAGED_VERSIONS]:
             del self._staged[version]
-        self._distributor.begin()
+        self._distributor.begin_version()
         return staged
 
     async def _read_pieces(self, wanted: int) -> PieceList:
@@ -295,7 +297,7 @@
         await self._readings.keep_version(shared)
         return shared.pieces
 
-    async def _order(self, staged: StagedVersion, version: int) -> None:
+    async def _load(self, staged: StagedVersion, version: int) -> None:
         await self._verify(staged, version)
         self._set_switching(True)
         try:
@@ -303,7 +305,7 @@
             self._log.write(Event.ENGINE_ORDERED, version=version, accepted=accepted)
             if accepted:
                 self._accepted = version
-                await self._wait_in_force(version)
+                await self._wait_until_loaded(version)
         finally:
             self._set_switching(False)
 
@@ -319,23 +321,23 @@
           CodedError: A piece must be rewritten and the store does not hold it.
         """
         was_slow = False
-        for _ in range(MOST_VERIFICATIONS):
+        for _ in range(MAX_VERIFICATIONS):
             began = awake_seconds()
-            mended = await staged.verify(numbers)
-            if mended < 0:
+            rewritten = await staged.verify(numbers)
+            if rewritten < 0:
                 raise CodedError("piece_lost", "a staged piece is bad and not in the store", 503)
-            if mended:
-                self._log.write(Event.STAGED_PIECES_MENDED, version=version, pieces=mended)
+            if rewritten:
+                self._log.write(Event.STAGED_PIECES_MENDED, version=version, pieces=rewritten)
                 continue
             # The engine loads whatever is staged when it accepts the command. After a suspension
             # the first pieces were verified long ago, and one that became corrupt since would be
             # served from. If verification is slow twice in a row, this engine is slow to read.
-            is_slow = awake_seconds() - began > FRESH_SECONDS
+            is_slow = awake_seconds() - began > MAX_VERIFY_SECONDS
             if not is_slow or was_slow:
                 return
             was_slow = True
 
-    async def _wait_in_force(self, version: int) -> None:
+    async def _wait_until_loaded(self, version: int) -> None:
         loop = asyncio.get_running_loop()
         ends = loop.time() + LOAD_SECONDS
         while loop.time() < ends:
--- a/wasabidrum/weights/engine_controller_test.py
+++ b/wasabidrum/weights/engine_controller_test.py
@@ -65,7 +65,7 @@
         listed = types.SimpleNamespace(model=MODEL, on_members=None)
         pieces = PieceList(MODEL, VERSION, len(PIECES[0]), tuple(store))
         self.staged = StagedVersion(self.engine, distributor, pieces)
-        self.keeper = EngineController(self.engine, None, distributor, listed, None, 8.0, log)
+        self.controller = EngineController(self.engine, None, distributor, listed, None, 8.0, log)
         self.clock = self.enterContext(contextlib.ExitStack())
 
     async def test_what_was_read_back_before_a_suspension_is_read_back_again(self) -> None:
@@ -79,7 +79,7 @@
                 self.engine.held[0] = b"spoilt"
 
         self.engine.on_read = suspend
-        await self.keeper._order(self.staged, VERSION)
+        await self.controller._load(self.staged, VERSION)
         self.assertEqual(self.engine.loaded, [dict(enumerate(PIECES))])
 
     async def test_an_engine_that_is_always_slow_to_read_gets_its_order(self) -> None:
@@ -90,12 +90,12 @@
             self.clock.enter_context(suspended_for(SUSPENDED_SECONDS))
 
         self.engine.on_read = take_long
-        await self.keeper._order(self.staged, VERSION)
+        await self.controller._load(self.staged, VERSION)
         self.assertEqual(len(self.engine.loaded), 1)
         self.assertLessEqual(self.engine.reads, 2 * len(PIECES))
 
 
-class WorkTest(unittest.IsolatedAsyncioTestCase):
+class RetryTest(unittest.IsolatedAsyncioTestCase):
     """Work for a version that waits for its turn or fails unexpectedly."""
 
     async def test_an_engine_that_has_waited_for_its_turn_gets_its_order(self) -> None:
@@ -123,28 +123,28 @@
     async def test_work_that_fails_unexpectedly_is_begun_again(self) -> None:
         """Without a retry the engine would never load this version or any later one."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
-        store = types.SimpleNamespace(undecided=False, expected=set(), wake_all=lambda: None)
+        store = types.SimpleNamespace(chunks_unknown=False, expected=set(), wake_all=lambda: None)
         distributor = types.SimpleNamespace(store=store)
         never = asyncio.Event()
 
-        async def wait_other_than(version: int) -> None:
+        async def wait_for_change(version: int) -> None:
             await never.wait()
 
         listed = types.SimpleNamespace(
-            model=MODEL, wanted=2, on_members=None, wait_other_than=wait_other_than
+            model=MODEL, wanted=2, on_members=None, wait_for_change=wait_for_change
         )
         controller = EngineController(FakeEngine(), None, distributor, listed, None, 8.0, log)
         begun = asyncio.Event()
         tries = []
 
-        async def keep(version: int) -> None:
+        async def work(version: int) -> None:
             tries.append(version)
             if len(tries) == 1:
                 raise ValueError("unforeseen")
             begun.set()
             await never.wait()
 
-        controller._keep = keep
+        controller._retry_forever = work
         running = asyncio.ensure_future(controller.run())
         try:
             await asyncio.wait_for(begun.wait(), 2.0)
--- a/wasabidrum/weights/link_pacer.py
+++ b/wasabidrum/weights/link_pacer.py
@@ -23,16 +23,16 @@
         self.links = LinkSpec()
         self.senders = 1
 
-    def reserve(self, to_region: str, size: int, asker_rate: float = 0.0) -> Reservation:
+    def reserve(self, to_region: str, size: int, requester_rate: float = 0.0) -> Reservation:
         """Reserves the time in which a number of bytes may be sent to a region.
 
         Args:
-          asker_rate: The bytes per second that the requester accepts; zero for no limit.
+          requester_rate: The bytes per second that the requester accepts; zero for no limit.
         """
         sent = self._reserve(to_region, size)
-        if asker_rate <= 0.0:
+        if requester_rate <= 0.0:
             return sent
-        return Reservation(sent.start, max(sent.seconds, size / asker_rate))
+        return Reservation(sent.start, max(sent.seconds, size / requester_rate))
 
     def _reserve(self, to_region: str, size: int) -> Reservation:
         now = asyncio.get_running_loop().time()
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -24,7 +24,7 @@
     ListedMember,
     SharedReadings,
     VersionReading,
-    first_readers,
+    readers_before,
 )
 
 # Timeout of a watch call. Versions are published rarely, and each time-out costs another call.
@@ -32,7 +32,7 @@
 # Pause between failed calls. Forty sidecars that retry three times a second make more calls than
 # all other clients. Once the store is back, a version is learned at most one pause later.
 PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 0.6
+MAX_PAUSE_SECONDS = 0.6
 # Members are read when a version is published, and at this interval while weights are missing.
 MEMBERS_SECONDS = 2.0
 # How long a process waits for a relay after its start before it plans without relays; entries open
@@ -75,8 +75,8 @@
         self._relays: dict[str, MemberView] = {}
         self._relays_known = asyncio.Event()
         self._started_at = awake_seconds()
-        self.on_members = ignore_members
-        self.on_relays = ignore_members
+        self.on_members = ignore_update
+        self.on_relays = ignore_update
 
     @property
     def members(self) -> list[MemberView]:
@@ -192,7 +192,7 @@
             name: view.instance.region for name, view in self._views.items() if name not in leaving
         }
 
-    async def wait_other_than(self, version: int) -> None:
+    async def wait_for_change(self, version: int) -> None:
         """Waits until the wanted version differs from the one given."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.wanted != version)
@@ -210,12 +210,12 @@
                     reading = await self._store.watch(Watched.VERSIONS, revision, WATCH_SECONDS)
                     revision = reading.revision
                     for change in reading.changes:
-                        await self._take_version(change)
+                        await self._record_version(change)
             except CodedError as error:
                 if not failures:
                     self._log.write(Event.STORE_LOST, reason=str(error)[:200], evidence_age=0.0)
                 failures += 1
-                await asyncio.sleep(min(LONGEST_PAUSE_SECONDS, PAUSE_SECONDS * failures))
+                await asyncio.sleep(min(MAX_PAUSE_SECONDS, PAUSE_SECONDS * failures))
 
     async def keep_members(self, lacking: collections.abc.Callable[[], bool]) -> None:
         """Reads the members periodically, forever, while this engine lacks its weights."""
@@ -234,7 +234,7 @@
 
     async def read_version(self, version: int) -> VersionReading | None:
         """Returns a version reading from a peer of the region, or None; updates the members."""
-        asked = self._first_readers(f"{self.model}/{version}")
+        asked = self._readers_before(f"{self.model}/{version}")
         reading = await self._readings.ask_version(asked, version)
         if reading is None:
             return None
@@ -242,20 +242,20 @@
             named_at = awake_seconds() - reading.named_for
             self._named_at[version] = min(self._named_at[version], named_at)
         if reading.members:
-            self._take_members(reading.members)
+            self._set_members(reading.members)
         else:
             await self.read_members()
         return reading
 
-    def _first_readers(self, subject: str) -> list[MemberView]:
+    def _readers_before(self, subject: str) -> list[MemberView]:
         own = self._deployment
-        return first_readers(subject, own.host, own.region, self.members, self._relays)
+        return readers_before(subject, own.host, own.region, self.members, self._relays)
 
     async def _read_all(self) -> int:
         await self._read_members()
         setting = self._readings.setting
         if setting is None:
-            asked = self._first_readers(self._deployment.service)
+            asked = self._readers_before(self._deployment.service)
             setting = await self._readings.ask_setting(asked)
             if setting is None:
                 setting = await self._read_setting()
@@ -264,7 +264,7 @@
         self.layers = setting.layers
         reading = await self._store.read(Watched.VERSIONS)
         for change in reading.changes:
-            await self._take_version(change)
+            await self._record_version(change)
         self._known = True
         return reading.revision
 
@@ -294,9 +294,9 @@
                 continue
             if endpoint.service == self._deployment.service:
                 members.append(to_member(endpoint))
-        self._take_members(tuple(members))
+        self._set_members(tuple(members))
 
-    def _take_members(self, members: tuple[ListedMember, ...]) -> None:
+    def _set_members(self, members: tuple[ListedMember, ...]) -> None:
         self._listed = members
         own = self._deployment
         places = {member.host: member.data_centre for member in members}
@@ -312,7 +312,7 @@
     def _region_of(self, data_centre: str) -> str:
         return region_of_centre(self._deployment.region_of, data_centre)
 
-    async def _take_version(self, change: StoreChange) -> None:
+    async def _record_version(self, change: StoreChange) -> None:
         if change.value is None:
             return
         try:
@@ -347,5 +347,5 @@
     return EngineSetting(own.models[0], own.engine.layers, host, port, origin.data_centre)
 
 
-def ignore_members() -> None:
+def ignore_update() -> None:
     """Default callback that does nothing."""
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -15,10 +15,10 @@
 HEAD_GRACE_SECONDS = 2.0
 STALL_SECONDS = 3.0
 SLOWEST_FACTOR = 4.0
-LONGEST_REQUEST_SECONDS = 900.0
+MAX_REQUEST_SECONDS = 900.0
 
 
-HoldsUp = collections.abc.Callable[[], collections.abc.Awaitable[bool]]
+SilenceCheck = collections.abc.Callable[[], collections.abc.Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 class ChunkDownload:
     """The progress of one chunk request."""
 
-    __slots__ = ("_parts", "_loop", "_moves_until", "_ends_at", "_status", "_head", "given_up")
+    __slots__ = ("_parts", "_loop", "_stalls_at", "_ends_at", "_status", "_head", "abandoned")
     __slots__ += ("_due_at", "_idle_from", "sending_seconds")
 
     def __init__(self, wait: float) -> None:
@@ -47,9 +47,9 @@
         self._parts: list[bytes] = []
         self._status = 0
         self._head = httputil.HTTPHeaders()
-        self._moves_until = self._loop.time() + wait + HEAD_GRACE_SECONDS
-        self._ends_at = self._moves_until + LONGEST_REQUEST_SECONDS
-        self.given_up = False
+        self._stalls_at = self._loop.time() + wait + HEAD_GRACE_SECONDS
+        self._ends_at = self._stalls_at + MAX_REQUEST_SECONDS
+        self.abandoned = False
         # Before the head arrives, the download counts as idle from half a second on.
         self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - PROBE_INTERVAL_SECONDS
         self._due_at = self._loop.time()
@@ -76,9 +76,9 @@
         return b"".join(self._parts)
 
     @property
-    def patience(self) -> float:
+    def seconds_until_stall(self) -> float:
         """The seconds after which this download counts as stalled if nothing arrives."""
-        return min(self._moves_until, self._ends_at) - self._loop.time()
+        return min(self._stalls_at, self._ends_at) - self._loop.time()
 
     def take_header_line(self, line: str) -> None:
         """Processes one line of the response head."""
@@ -93,22 +93,22 @@
             self._due_at = now + max(0.0, starts_in) + seconds
             self.sending_seconds = seconds
             self._idle_from = now
-            self._moves_until = now + max(0.0, starts_in) + STALL_SECONDS
-            self._ends_at = self._moves_until + SLOWEST_FACTOR * seconds + STALL_SECONDS
+            self._stalls_at = now + max(0.0, starts_in) + STALL_SECONDS
+            self._ends_at = self._stalls_at + SLOWEST_FACTOR * seconds + STALL_SECONDS
 
-    def forgive(self, seconds: float) -> None:
+    def extend_due_time(self, seconds: float) -> None:
         """Extends the expected end by the time for which this process was blocked."""
         self._due_at += seconds
 
-    def take_part(self, part: bytes) -> None:
+    def take_body_part(self, part: bytes) -> None:
         """Processes some bytes of the body."""
-        if self.given_up:
+        if self.abandoned:
             # Tornado closes a connection whose input callback raises this error. Otherwise an
             # abandoned transfer would continue and occupy the link.
             raise httputil.HTTPInputError("download abandoned")
         self._parts.append(part)
         self._idle_from = self._loop.time()
-        self._moves_until = max(self._moves_until, self._loop.time() + STALL_SECONDS)
+        self._stalls_at = max(self._stalls_at, self._loop.time() + STALL_SECONDS)
 
 
 class PeerChunkClient:
@@ -121,14 +121,14 @@
         self._name = name
         self._region = region
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
         """Requests a chunk; the peer answers once it holds the chunk or the wait is over.
@@ -138,7 +138,7 @@
         Args:
           wait: Seconds for which the peer may hold the request.
           revision: The configuration revision of this process.
-          holds_up: Called while nothing arrives; returns whether to abandon the request.
+          is_silent: Called while nothing arrives; returns whether to abandon the request.
           rate: The highest rate in bytes per second to send at; zero leaves it to the peer.
 
         Raises:
@@ -155,32 +155,32 @@
                 headers.ASKER_RATE: f"{rate:.0f}",
             },
             header_callback=download.take_header_line,
-            streaming_callback=download.take_part,
-            request_timeout=LONGEST_REQUEST_SECONDS,
+            streaming_callback=download.take_body_part,
+            request_timeout=MAX_REQUEST_SECONDS,
         )
-        answered = asyncio.ensure_future(http_client.fetch(self._client, request, url))
+        fetched = asyncio.ensure_future(http_client.fetch(self._client, request, url))
         try:
-            while not answered.done():
-                if download.patience <= 0:
+            while not fetched.done():
+                if download.seconds_until_stall <= 0:
                     raise CodedError("peer_stalled", f"{url} stopped sending", 503)
-                timeout = min(max(0.01, download.patience), ANSWER_MARGIN_SECONDS)
+                timeout = min(max(0.01, download.seconds_until_stall), ANSWER_MARGIN_SECONDS)
                 began = asyncio.get_running_loop().time()
-                await asyncio.wait((answered,), timeout=timeout)
+                await asyncio.wait((fetched,), timeout=timeout)
                 waited = asyncio.get_running_loop().time() - began
                 # Time for which this process itself was blocked does not make the chunk late.
-                download.forgive(max(0.0, waited - timeout))
-                if holds_up is None or answered.done() or not download.idle:
+                download.extend_due_time(max(0.0, waited - timeout))
+                if is_silent is None or fetched.done() or not download.idle:
                     continue
-                if await holds_up() and download.idle and not answered.done():
+                if await is_silent() and download.idle and not fetched.done():
                     raise CodedError("peer_held_up", f"{url} is silent", 503)
         finally:
-            download.given_up = True
-            answered.cancel()
+            download.abandoned = True
+            fetched.cancel()
         if probe:
             return PeerAnswer(self._read_state(download))
-        return self._judge(answered.result(), download, digest)
+        return self._read_answer(fetched.result(), download, digest)
 
-    def _judge(
+    def _read_answer(
         self, response: httpclient.HTTPResponse, download: ChunkDownload, digest: str
     ) -> PeerAnswer:
         if response.code == 200:
--- a/wasabidrum/weights/peer_watch.py
+++ b/wasabidrum/weights/peer_prober.py
@@ -19,7 +19,7 @@
         self._began = self._loop.time()
         self._answers: dict[str, float | None] = dict.fromkeys(names)
         self._probes = {
-            name: asyncio.ensure_future(self._ask(probe, name, digest)) for name in names
+            name: asyncio.ensure_future(self._send_probe(probe, name, digest)) for name in names
         }
 
     @property
@@ -59,64 +59,64 @@
         for probe in self._probes.values():
             probe.cancel()
 
-    async def _ask(self, probe: Probe, name: str, digest: str) -> ChunkState | None:
+    async def _send_probe(self, probe: Probe, name: str, digest: str) -> ChunkState | None:
         state = await probe(name, digest)
         if state is not None:
             self._answers[name] = self.elapsed
         return state
 
 
-class PeerWatch:
+class PeerProber:
     """Probes peers, with one probe shared by all requests that wait at the same peer.
 
     Attributes:
       responsiveness: The results of the probes.
     """
 
-    __slots__ = ("_probe", "_others", "_on_held_up", "_looks", "responsiveness")
+    __slots__ = ("_probe", "_others", "_on_silent", "_checks", "responsiveness")
 
     def __init__(
         self,
         probe: Probe,
         others: collections.abc.Callable[[], collections.abc.Iterable[str]],
-        on_held_up: collections.abc.Callable[[str, str], None],
+        on_silent: collections.abc.Callable[[str, str], None],
     ) -> None:
         """Creates a watch.
 
         Args:
           probe: Returns the state of a chunk at a peer, or None on failure.
           others: Returns the peers that may be probed for comparison.
-          on_held_up: Called with the name of a silent peer and the chunk.
+          on_silent: Called with the name of a silent peer and the chunk.
         """
         self._probe = probe
         self._others = others
-        self._on_held_up = on_held_up
-        self._looks: dict[str, asyncio.Task[bool]] = {}
+        self._on_silent = on_silent
+        self._checks: dict[str, asyncio.Task[bool]] = {}
         self.responsiveness = PeerResponsiveness()
 
-    async def holds_up(self, name: str, digest: str) -> bool:
+    async def is_silent(self, name: str, digest: str) -> bool:
         """Returns whether a peer is silent while others answer."""
         if self.responsiveness.answered_lately(name, asyncio.get_running_loop().time()):
             return False
-        look = self._looks.get(name)
-        if look is None:
-            look = asyncio.ensure_future(self._look(name, digest))
-            self._looks[name] = look
-            look.add_done_callback(lambda _: self._looks.pop(name, None))
+        check = self._checks.get(name)
+        if check is None:
+            check = asyncio.ensure_future(self._check_silent(name, digest))
+            self._checks[name] = check
+            check.add_done_callback(lambda _: self._checks.pop(name, None))
         # Shielded: one waiting request may be cancelled while others need the result.
-        return await asyncio.shield(look)
+        return await asyncio.shield(check)
 
     async def probe_all(self, names: list[str], digest: str) -> list[ChunkState | None]:
         """Returns the state of a chunk at each peer, without waiting for a silent one."""
-        probes, _ = await self._play_round(names, digest)
+        probes, _ = await self._run_round(names, digest)
         return [probes.read_state(name) for name in names]
 
-    async def _look(self, name: str, digest: str) -> bool:
-        witnesses = self.responsiveness.choose_reference_peers(name, self._others())
-        _, silent = await self._play_round([name, *witnesses], digest)
+    async def _check_silent(self, name: str, digest: str) -> bool:
+        references = self.responsiveness.choose_reference_peers(name, self._others())
+        _, silent = await self._run_round([name, *references], digest)
         return name in silent
 
-    async def _play_round(self, names: list[str], digest: str) -> tuple[ProbeRound, list[str]]:
+    async def _run_round(self, names: list[str], digest: str) -> tuple[ProbeRound, list[str]]:
         probes = ProbeRound(self._probe, names, digest)
         try:
             await probes.wait()
@@ -126,5 +126,5 @@
         now = asyncio.get_running_loop().time()
         self.responsiveness.record_round(probes.answers, probes.elapsed, now)
         for name in silent:
-            self._on_held_up(name, digest)
+            self._on_silent(name, digest)
         return probes, silent
--- a/wasabidrum/weights/rollout_gate.py
+++ b/wasabidrum/weights/rollout_gate.py
@@ -38,7 +38,7 @@
         self._since = 0
         self.state = RolloutState()
 
-    def begin(self, revision: int) -> None:
+    def reset(self, revision: int) -> None:
         """Resets the rollout state for a new target.
 
         A stopped version may be published again, so statuses from before this revision are ignored
@@ -62,7 +62,7 @@
             statuses = await self._statuses.read(contacts)
         else:
             statuses = await self._statuses.read_first(contacts)
-        statuses = self._current_ones(statuses)
+        statuses = self._drop_stale(statuses)
         proof = rollout_wave.judge_proof(order, self._name, version, statuses, ready_seconds)
         # Published in turn by this endpoint, so that the result spreads down the tree.
         if proof is Proof.PROVEN:
@@ -71,7 +71,7 @@
             self.state.stopped = version
         return proof
 
-    async def wait_turn(self, order: list[str], model: ModelSpec) -> bool:
+    async def wait_for_turn(self, order: list[str], model: ModelSpec) -> bool:
         """Waits for this endpoint's turn; returns False if the version is stopped.
 
         When it returns True, the state is marked as switching.
@@ -79,15 +79,15 @@
         loop = asyncio.get_running_loop()
         version = model.version
         ready_since = loop.time()
-        told = None
+        logged = None
         while True:
             proof = await self.read_proof(order, version, loop.time() - ready_since)
             if proof is Proof.STOPPED:
                 return False
             if proof is not Proof.WAIT and await self._try_turn(order, model):
                 return True
-            if proof is not told:
-                told = proof
+            if proof is not logged:
+                logged = proof
                 self._log.write(Event.SWITCH_WAITS, version=version, proof=proof.value)
             await asyncio.sleep(POLL_SECONDS)
 
@@ -100,16 +100,16 @@
         if self.state.stopped == version:
             return
         others = [name for name in order[:CANARY_CANDIDATES] if name != self._name]
-        heard = [
+        answered = [
             status
-            for status in self._current_ones(await self._statuses.read(others)).values()
+            for status in self._drop_stale(await self._statuses.read(others)).values()
             if status is not None
         ]
-        if any(status.proven == version for status in heard):
+        if any(status.proven == version for status in answered):
             await asyncio.sleep(RETRY_SECONDS)
             self.state.failed = ""
             return
-        failures = 1 + sum(status.failed_version == version for status in heard)
+        failures = 1 + sum(status.failed_version == version for status in answered)
         if failures >= rollout_wave.failures_to_stop(len(order)):
             self.state.stopped = version
             self._log.write(Event.VERSION_STOPPED, version=version, failures=failures)
@@ -120,7 +120,7 @@
         versions = [status.version for status in statuses.values() if status and status.version]
         return max(versions, key=versions.count, default="")
 
-    def _current_ones(self, statuses: dict[str, Status | None]) -> dict[str, Status | None]:
+    def _drop_stale(self, statuses: dict[str, Status | None]) -> dict[str, Status | None]:
         return {
             name: status if status is None or status.revision >= self._since else None
             for name, status in statuses.items()
--- a/wasabidrum/weights/shared_readings.py
+++ b/wasabidrum/weights/shared_readings.py
@@ -27,15 +27,15 @@
 
 PATH = "/internal/readings/"
 # Number of peers that are asked before a process reads for itself.
-MOST_ASKED = 2
+MAX_PEERS_ASKED = 2
 CONNECT_SECONDS = 0.3
 SETTING_SECONDS = 2.0
 VERSION_SECONDS = 0.6
 # How long a peer holds a request while it is still reading the data itself.
-HELD_SECONDS = 1.5
+MAX_HOLD_SECONDS = 1.5
 # How long members count as current. All sidecars read a published version within a second; later,
 # the members may have changed.
-FRESH_SECONDS = 2.0
+MEMBERS_VALID_SECONDS = 2.0
 STATUS_MISSING = 404
 # The path name of the latest version that a peer knows.
 LATEST = "0"
@@ -122,8 +122,8 @@
         """Returns a reading by its path name, or None if it is not available in time."""
 
         try:
-            async with asyncio.timeout(HELD_SECONDS), self._changed:
-                await self._changed.wait_for(lambda: self._is_decided(name))
+            async with asyncio.timeout(MAX_HOLD_SECONDS), self._changed:
+                await self._changed.wait_for(lambda: self._is_settled(name))
         except TimeoutError:
             return None
         if name == "setting":
@@ -135,10 +135,10 @@
     def _fresh_members(self) -> tuple[ListedMember, ...]:
         if self.list_members is not None:
             return self.list_members()
-        fresh = asyncio.get_running_loop().time() - self._read_at <= FRESH_SECONDS
+        fresh = asyncio.get_running_loop().time() - self._read_at <= MEMBERS_VALID_SECONDS
         return self.version.members if fresh else ()
 
-    def _is_decided(self, name: str) -> bool:
+    def _is_settled(self, name: str) -> bool:
         """Returns whether a reading is available, or known not to become available."""
         if name == "setting":
             return self.setting is not None
@@ -191,7 +191,7 @@
         self.write(msgspec.json.encode(reading))
 
 
-def first_readers(
+def readers_before(
     subject: str,
     own: str,
     region: str,
@@ -211,4 +211,4 @@
     others = [name for name in {*near, own} if name not in relays]
     ranked = rank_names(subject, first) + rank_names(subject, others)
     before = ranked[: ranked.index(own)]
-    return [near[name] for name in before[:MOST_ASKED]]
+    return [near[name] for name in before[:MAX_PEERS_ASKED]]
--- a/wasabidrum/weights/staged_version.py
+++ b/wasabidrum/weights/staged_version.py
@@ -19,7 +19,7 @@
       progressed_at: When a new piece last arrived, by the event loop's clock.
     """
 
-    __slots__ = ("_engine", "_distributor", "_pieces", "_manifest", "_here")
+    __slots__ = ("_engine", "_distributor", "_pieces", "_manifest", "_staged")
     __slots__ += ("root", "progressed_at")
 
     def __init__(self, engine: EngineClient, distributor: Distributor, pieces: PieceList) -> None:
@@ -28,7 +28,7 @@
         self._pieces = pieces
         self._manifest = manifest_of(pieces)
         self.root = root_of(self._manifest)
-        self._here: set[int] = set()
+        self._staged: set[int] = set()
         self.progressed_at = 0.0
 
     @property
@@ -39,7 +39,7 @@
     @property
     def share(self) -> float:
         """The fraction of the pieces that are staged."""
-        return len(self._here) / max(1, len(self._pieces.digests))
+        return len(self._staged) / max(1, len(self._pieces.digests))
 
     async def adopt(self) -> int:
         """Registers intact pieces that are already in the staging area; returns their number.
@@ -55,11 +55,11 @@
             content = await self._engine.read_piece(self._pieces.model, number)
             if content is not None and digest_of(content) == self._pieces.digests[number]:
                 self._distributor.store.add(self._pieces.digests[number], content)
-                self._here.add(number)
+                self._staged.add(number)
                 adopted += 1
         return adopted
 
-    async def bring(
+    async def fetch_missing(
         self, region_of: dict[str, str], relays: dict[str, str], origin_region: str
     ) -> None:
         """Fetches every missing piece and stages them all.
@@ -73,17 +73,17 @@
         # Relays in the origin's region fetch a copy as fast as the origin can send it. Sidecars
         # have narrow links: if one region fetched the copy alone, it would take twice as long to
         # leave that region.
-        drawing = origin_region if relays else ""
-        plan = ChunkPlan(self.root, pieces.digests, region_of, drawing, relays)
+        fetching_region = origin_region if relays else ""
+        plan = ChunkPlan(self.root, pieces.digests, region_of, fetching_region, relays)
         self._distributor.share_link(plan)
-        self._distributor.store.want(frozenset(pieces.digests))
-        every = list(range(len(pieces.digests)))
-        await VersionDownload(self._distributor, plan, self._manifest, every, self._put).run()
+        self._distributor.store.set_wanted(frozenset(pieces.digests))
+        every_index = list(range(len(pieces.digests)))
+        await VersionDownload(self._distributor, plan, self._manifest, every_index, self._put).run()
 
     def complete_layer(self, layers: int) -> int | None:
         """Returns the first layer whose pieces are all staged, or None."""
         for layer in range(layers):
-            if self._here.issuperset(self.pieces_of(layer, layers)):
+            if self._staged.issuperset(self.pieces_of(layer, layers)):
                 return layer
         return None
 
@@ -104,7 +104,7 @@
           The number of pieces rewritten, or -1 if the store does not hold a piece that needs it.
         """
         held = set(await self._engine.staged(self._pieces.model))
-        mended = 0
+        rewritten = 0
         digests = self._pieces.digests
         for number in range(len(digests)) if numbers is None else numbers:
             digest = digests[number]
@@ -112,16 +112,16 @@
             if number in held:
                 content = await self._engine.read_piece(self._pieces.model, number)
             if content is None or digest_of(content) != digest:
-                sound = self._distributor.store.get(digest)
-                if sound is None:
+                intact = self._distributor.store.get(digest)
+                if intact is None:
                     return -1
-                await self._put(number, sound)
-                mended += 1
+                await self._put(number, intact)
+                rewritten += 1
             await asyncio.sleep(0)
-        return mended
+        return rewritten
 
     async def _put(self, number: int, content: bytes) -> None:
         await self._engine.put_piece(self._pieces.model, number, content)
-        if number not in self._here:
-            self._here.add(number)
+        if number not in self._staged:
+            self._staged.add(number)
             self.progressed_at = asyncio.get_running_loop().time()
--- a/wasabidrum/weights/staged_version_test.py
+++ b/wasabidrum/weights/staged_version_test.py
@@ -9,7 +9,7 @@
 PIECES = tuple(f"digest-{n}" for n in range(12))
 
 
-class TakingEngine:
+class AcceptingEngine:
     """A staging area that accepts every piece."""
 
     async def put_piece(self, model: str, number: int, content: bytes) -> None:
@@ -21,7 +21,7 @@
 
     async def test_a_layer_is_complete_once_all_its_pieces_are_here(self) -> None:
         """Guards against a command to load a layer of which a piece is missing."""
-        staged = StagedVersion(TakingEngine(), None, PieceList("m", 2, 1, PIECES))
+        staged = StagedVersion(AcceptingEngine(), None, PieceList("m", 2, 1, PIECES))
         for number in (0, 1, 6, 7, 11):
             await staged._put(number, b"x")
         self.assertIsNone(staged.complete_layer(LAYERS))
--- a/wasabidrum/weights/status_client.py
+++ b/wasabidrum/weights/status_client.py
@@ -12,8 +12,8 @@
 from ..wire import http_client
 
 TIMEOUT_SECONDS = 1.5
-FIRST_PAUSE_SECONDS = 3.0
-LONGEST_PAUSE_SECONDS = 24.0
+MIN_PAUSE_SECONDS = 3.0
+MAX_PAUSE_SECONDS = 24.0
 
 
 class StatusClient:
@@ -23,13 +23,13 @@
       asked: The number of requests sent.
     """
 
-    __slots__ = ("_client", "_membership", "_silent", "asked")
+    __slots__ = ("_client", "_membership", "_backoffs", "asked")
 
     def __init__(self, client: httpclient.AsyncHTTPClient, membership: Membership) -> None:
         self._client = client
         self._membership = membership
         # Backoff by URL: the time of the next allowed request, and the current pause.
-        self._silent: dict[str, tuple[float, float]] = {}
+        self._backoffs: dict[str, tuple[float, float]] = {}
         self.asked = 0
 
     async def read(self, names: collections.abc.Iterable[str]) -> dict[str, Status | None]:
@@ -51,7 +51,7 @@
 
     async def _read_one(self, url: str) -> Status | None:
         now = asyncio.get_running_loop().time()
-        until, pause = self._silent.get(url, (0.0, FIRST_PAUSE_SECONDS / 2))
+        until, pause = self._backoffs.get(url, (0.0, MIN_PAUSE_SECONDS / 2))
         # A stalled link costs a full timeout per request, and a rollout sends many requests.
         if not url or now < until:
             return None
@@ -61,8 +61,8 @@
             response = await http_client.fetch(self._client, request, url)
             status = msgspec.json.decode(response.body, type=Status)
         except (CodedError, msgspec.MsgspecError):
-            pause = min(LONGEST_PAUSE_SECONDS, 2 * pause)
-            self._silent[url] = (asyncio.get_running_loop().time() + pause, pause)
+            pause = min(MAX_PAUSE_SECONDS, 2 * pause)
+            self._backoffs[url] = (asyncio.get_running_loop().time() + pause, pause)
             return None
-        self._silent.pop(url, None)
+        self._backoffs.pop(url, None)
         return status
--- a/wasabidrum/weights/clock_guard.py
+++ b/wasabidrum/weights/suspension_guard.py
@@ -17,15 +17,15 @@
 from ..platform.configuration_service import ConfigurationService
 
 TICK_SECONDS = 0.25
-LONGEST_GAP_SECONDS = 2.0
+MAX_GAP_SECONDS = 2.0
 PAUSE_SECONDS = 0.5
 
 
-class ClockGuard:
+class SuspensionGuard:
     """Compares the time since this process last ran, on a clock that counts suspensions."""
 
     __slots__ = ("_service", "_ask_peers", "_follower", "_log")
-    __slots__ += ("_last", "_pauses", "_confirmed_pauses")
+    __slots__ += ("_last_run", "_suspensions", "_confirmed_suspensions")
 
     def __init__(
         self,
@@ -38,27 +38,27 @@
         self._ask_peers = ask_peers
         self._follower = follower
         self._log = log
-        self._last: float | None = None
-        self._pauses = 0
-        self._confirmed_pauses = 0
+        self._last_run: float | None = None
+        self._suspensions = 0
+        self._confirmed_suspensions = 0
 
     async def run(self) -> None:
         """Records forever, at short intervals, that this process is running."""
         while True:
-            self.look()
+            self.check()
             await asyncio.sleep(TICK_SECONDS)
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Returns whether this process was suspended and has not confirmed its configuration
         since."""
         # The event loop's clock shows no gap after a suspension. Measured by it, the sidecar would
         # miss the suspension and send commands that operators have revoked meanwhile.
         now = awake_seconds()
-        if self._last is not None and now - self._last > LONGEST_GAP_SECONDS:
-            self._pauses += 1
-            self._log.write(Event.PROCESS_WOKE_LATE, seconds=round(now - self._last, 2))
-        self._last = now
-        return self._pauses > self._confirmed_pauses
+        if self._last_run is not None and now - self._last_run > MAX_GAP_SECONDS:
+            self._suspensions += 1
+            self._log.write(Event.PROCESS_WOKE_LATE, seconds=round(now - self._last_run, 2))
+        self._last_run = now
+        return self._suspensions > self._confirmed_suspensions
 
     async def confirm(self) -> None:
         """Returns once this process has the newest revision that any source reports.
@@ -67,16 +67,16 @@
         so both are asked. With one source alone, the sidecar could act on an old revision that
         the other would have corrected, or send its engine no commands until that source is back.
         """
-        while self.look():
-            pauses = self._pauses
-            told = await self._ask_peers() > 0
+        while self.check():
+            suspensions = self._suspensions
+            answered = await self._ask_peers() > 0
             try:
                 await self._follower.offer(await self._service.read())
-                told = True
+                answered = True
             except CodedError as error:
                 self._log.write(Event.CONFIGURATION_UNREACHABLE, reason=str(error))
-            if told and not self._follower.book.is_behind:
+            if answered and not self._follower.book.is_behind:
                 # The answers cover only suspensions that were detected before the requests.
-                self._confirmed_pauses = pauses
+                self._confirmed_suspensions = suspensions
             else:
                 await asyncio.sleep(PAUSE_SECONDS)
--- a/wasabidrum/weights/clock_guard_test.py
+++ b/wasabidrum/weights/suspension_guard_test.py
@@ -13,9 +13,9 @@
 from ..core.errors import CodedError
 from ..observe.event_log import EventLog
 from ..peers.configuration_follower import ConfigurationFollower
-from . import clock_guard
+from . import suspension_guard
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 SUSPENDED_SECONDS = 60.0
 VALUE = b'{"schema":1,"base":{"schema":1},"overlays":{}}'
 
@@ -33,10 +33,10 @@
         return ConfigValue(self.revision, digest_of(VALUE), VALUE)
 
 
-class ClockGuardTest(unittest.IsolatedAsyncioTestCase):
+class SuspensionGuardTest(unittest.IsolatedAsyncioTestCase):
     """A process that was suspended sends no command before it knows the newest revision."""
 
-    def make(self, revision: int, peers_tell: int) -> clock_guard.ClockGuard:
+    def make(self, revision: int, peers_tell: int) -> suspension_guard.SuspensionGuard:
         """Returns the guard of a process that has just been suspended."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         service = FakeService(revision)
@@ -50,15 +50,15 @@
                 await self.follower.offer(value)
             return int(peers_tell > 0)
 
-        guard = clock_guard.ClockGuard(service, ask_peers, self.follower, log)
-        guard._last = awake_seconds() - 10.0
+        guard = suspension_guard.SuspensionGuard(service, ask_peers, self.follower, log)
+        guard._last_run = awake_seconds() - 10.0
         return guard
 
     async def confirm(self, revision: int, peers_tell: int) -> None:
         """Runs `confirm` in a process with revision 3; fails if it does not return."""
         guard = self.make(revision, peers_tell)
         await self.follower.offer(ConfigValue(3, digest_of(VALUE), VALUE))
-        await asyncio.wait_for(guard.confirm(), PATIENCE_SECONDS)
+        await asyncio.wait_for(guard.confirm(), TIMEOUT_SECONDS)
 
     async def test_the_service_is_stale(self) -> None:
         """A sidecar is suspended during revision 5 and resumes while the service returns an old
@@ -78,11 +78,11 @@
         its sidecar sees no gap and commands, from revision 3, an engine without fencing: callers
         are served by a version that operators have withdrawn."""
         guard = self.make(revision=5, peers_tell=0)
-        guard._last = None
-        guard.look()
+        guard._last_run = None
+        guard.check()
         await self.follower.offer(ConfigValue(3, digest_of(VALUE), VALUE))
         with suspended_for(SUSPENDED_SECONDS):
-            await asyncio.wait_for(guard.confirm(), PATIENCE_SECONDS)
+            await asyncio.wait_for(guard.confirm(), TIMEOUT_SECONDS)
         self.assertEqual(self.follower.revision, 5)
 
     async def test_nobody_answers(self) -> None:
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -10,15 +10,15 @@
 
 # Concurrent fetches from the origin: enough that the next is in flight while one completes, few
 # enough that each chunk arrives soon and can be served to peers meanwhile.
-DRAWS_AT_ONCE = 2
+MAX_ORIGIN_FETCHES = 2
 # How long origin fetches take precedence over other transfers. If the origin is unreachable, the
 # other transfers must not wait longer than this.
-DRAWS_FIRST_SECONDS = 2.0
+ORIGIN_FIRST_SECONDS = 2.0
 # Concurrent requests to peers during that time. Peers wait for this sidecar's chunks and learn
 # from these requests that it is up.
-ASKS_WHILE_DRAWING = 2
+PEER_REQUESTS_AT_START = 2
 # Concurrent fetches from another region, where several peers send to this sidecar.
-IMPORTS_AT_ONCE = 4
+MAX_IMPORTS = 4
 
 Deliver = collections.abc.Callable[[int, bytes], collections.abc.Awaitable[None]]
 
@@ -35,7 +35,7 @@
     """The download of one version for one engine. Cancelling `run` cancels all its requests."""
 
     __slots__ = ("_distributor", "_plan", "_manifest", "_deliver", "_places")
-    __slots__ += ("_group", "_asking", "_askers", "_draws_first")
+    __slots__ += ("_group", "_peer_queue", "_peer_workers", "_origin_first")
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         manifest: Manifest,
         missing: list[int],
         deliver: Deliver,
-        draws_first: bool = True,
+        origin_first: bool = True,
     ) -> None:
         """Creates a download.
 
         Args:
           missing: Indexes of the chunks to download.
           deliver: Called with the index and the content of each chunk.
-          draws_first: Gives origin fetches precedence for a while, for an instance whose link
+          origin_first: Gives origin fetches precedence for a while, for an instance whose link
             is too narrow for both.
         """
         self._distributor = distributor
@@ -60,9 +60,9 @@
         self._deliver = deliver
         self._places: dict[str, list[int]] = {}
         self._group: asyncio.TaskGroup | None = None
-        self._asking: collections.abc.Iterator[str] | None = None
-        self._askers = 0
-        self._draws_first = draws_first
+        self._peer_queue: collections.abc.Iterator[str] | None = None
+        self._peer_workers = 0
+        self._origin_first = origin_first
         for index in missing:
             self._places.setdefault(manifest.chunks[index], []).append(index)
 
@@ -70,63 +70,65 @@
         """Returns once every missing chunk has been delivered."""
         store = self._distributor.store
         store.expected = set(self._places)
-        store.undecided = False
+        store.chunks_unknown = False
         store.wake_all()
-        draws: list[str] = []
-        imports: list[str] = []
-        asks: list[str] = []
+        from_origin: list[str] = []
+        from_regions: list[str] = []
+        from_peers: list[str] = []
         for digest in self._places:
             index = self._plan.index_of(digest)
             if not self._distributor.is_carrier(self._plan, index):
-                asks.append(digest)
+                from_peers.append(digest)
             elif self._distributor.is_first_region(self._plan, index):
-                draws.append(digest)
+                from_origin.append(digest)
             else:
-                imports.append(digest)
+                from_regions.append(digest)
         # Three separate queues: in a single one, chunks that peers wait for would queue behind
         # chunks that this sidecar waits for, and the delay would spread through the fleet.
         async with asyncio.TaskGroup() as group:
-            drawing = self._start_lane(group, draws, DRAWS_AT_ONCE)
-            asking = iter(asks)
-            self._start(group, asking, min(ASKS_WHILE_DRAWING, len(asks)))
-            if drawing and self._draws_first:
+            origin_workers = self._start_queue(group, from_origin, MAX_ORIGIN_FETCHES)
+            peer_queue = iter(from_peers)
+            self._start_workers(group, peer_queue, min(PEER_REQUESTS_AT_START, len(from_peers)))
+            if origin_workers and self._origin_first:
                 # No other sidecar fetches these chunks from the origin. If they shared the link
                 # with requests to peers, one slow instance would delay the whole fleet by
                 # seconds, or for the length of an outage if the origin fails meanwhile.
-                await asyncio.wait(drawing, timeout=DRAWS_FIRST_SECONDS)
-            self._start_lane(group, imports, IMPORTS_AT_ONCE)
+                await asyncio.wait(origin_workers, timeout=ORIGIN_FIRST_SECONDS)
+            self._start_queue(group, from_regions, MAX_IMPORTS)
             self._group = group
-            self._asking = asking
-            self._askers = ASKS_WHILE_DRAWING
-            self._widen()
+            self._peer_queue = peer_queue
+            self._peer_workers = PEER_REQUESTS_AT_START
+            self._add_peer_worker()
 
-    def _start_lane(
-        self, group: asyncio.TaskGroup, lane: list[str], workers: int
+    def _start_queue(
+        self, group: asyncio.TaskGroup, queue: list[str], workers: int
     ) -> list[asyncio.Task]:
-        return self._start(group, iter(lane), min(workers, len(lane)))
+        return self._start_workers(group, iter(queue), min(workers, len(queue)))
 
-    def _start(
+    def _start_workers(
         self, group: asyncio.TaskGroup, work: collections.abc.Iterator[str], workers: int
     ) -> list[asyncio.Task]:
         return [group.create_task(self._work(work)) for _ in range(workers)]
 
-    def _widen(self) -> None:
+    def _add_peer_worker(self) -> None:
         """Raises the number of concurrent requests by one if the last chunk arrived on time.
 
         An instance's link may be narrower than its settings say. A dozen chunks sent to it at
         once then delay its engine's requests by seconds, and callers give up before their
         requests arrive.
         """
-        if self._asking is None or self._askers >= self._distributor.asks_at_once(self._plan):
+        if self._peer_queue is None or self._peer_workers >= self._distributor.max_requests(
+            self._plan
+        ):
             return
         if self._distributor.late_seconds <= ON_TIME_SECONDS:
-            self._askers += 1
-            self._start(self._group, self._asking, 1)
+            self._peer_workers += 1
+            self._start_workers(self._group, self._peer_queue, 1)
 
     async def _work(self, digests: collections.abc.Iterator[str]) -> None:
         for digest in digests:
             content = await self._distributor.fetch(self._plan, digest)
-            self._widen()
+            self._add_peer_worker()
             for index in self._places[digest]:
                 await self._deliver(index, content)
             self._distributor.store.expected.discard(digest)
--- a/wasabidrum/weights/version_download_test.py
+++ b/wasabidrum/weights/version_download_test.py
@@ -11,7 +11,7 @@
 from ..core.manifest import Manifest, build_manifest
 from ..decisions.chunk_plan import ChunkPlan
 from .chunk_store import ChunkStore
-from .version_download import ASKS_WHILE_DRAWING, DRAWS_FIRST_SECONDS, VersionDownload
+from .version_download import ORIGIN_FIRST_SECONDS, PEER_REQUESTS_AT_START, VersionDownload
 
 CHUNK_BYTES = 4
 
@@ -29,7 +29,7 @@
         """See Distributor."""
         return index % 3 == 0
 
-    def asks_at_once(self, plan: ChunkPlan) -> int:
+    def max_requests(self, plan: ChunkPlan) -> int:
         """See Distributor."""
         return 12
 
@@ -60,7 +60,9 @@
         texts = [bytes(chance.randrange(3) for _ in range(30)) for _ in range(3)]
         activated: list[int] = []
 
-        async def bring(number: int, manifest: Manifest, contents: dict[str, bytes]) -> None:
+        async def download_version(
+            number: int, manifest: Manifest, contents: dict[str, bytes]
+        ) -> None:
             staged: dict[int, bytes] = {}
             plan = ChunkPlan(f"root-{number}", manifest.chunks, {"w": "rift-a"})
 
@@ -75,7 +77,7 @@
             self.assertEqual(parts, texts[number])
             activated.append(number)
 
-        async def play() -> None:
+        async def change_versions() -> None:
             work: asyncio.Task | None = None
             for number, wait in enumerate([*turns, 10_000]):
                 text = texts[number % 3]
@@ -85,14 +87,14 @@
                 if work is not None:
                     work.cancel()
                     await asyncio.wait((work,))
-                work = asyncio.ensure_future(bring(number % 3, manifest, contents))
+                work = asyncio.ensure_future(download_version(number % 3, manifest, contents))
                 for _ in range(wait):
                     if work.done():
                         break
                     await asyncio.sleep(0)
             await work
 
-        asyncio.run(play())
+        asyncio.run(change_versions())
         self.assertEqual(activated[-1], len(turns) % 3)
 
 
@@ -102,23 +104,23 @@
     def __init__(self, contents: dict[str, bytes], plan: ChunkPlan) -> None:
         super().__init__(contents, random.Random(1))
         self._plan = plan
-        self.begun: list[int] = []
+        self.started: list[int] = []
         self.origin = asyncio.Event()
 
     async def fetch(self, plan: ChunkPlan, digest: str) -> bytes:
         """Returns a chunk; one from the origin only once `origin` is set."""
         index = plan.index_of(digest)
-        self.begun.append(index)
-        if self.draws(index):
+        self.started.append(index)
+        if self.fetches_from_origin(index):
             await self.origin.wait()
         return await super().fetch(plan, digest)
 
-    def draws(self, index: int) -> bool:
+    def fetches_from_origin(self, index: int) -> bool:
         """Returns whether this sidecar fetches a chunk from the origin."""
         return self.is_carrier(self._plan, index) and self.is_first_region(self._plan, index)
 
 
-class DrawsFirstTest(unittest.IsolatedAsyncioTestCase):
+class OriginFirstTest(unittest.IsolatedAsyncioTestCase):
     """Concurrency while fetches from the origin are in progress."""
 
     def setUp(self) -> None:
@@ -142,18 +144,20 @@
         running = asyncio.ensure_future(self.download.run())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        begun = self.distributor.begun
-        asked_at_once = {index for index in begun if not self.distributor.draws(index)}
-        self.assertTrue(0 < len(asked_at_once) <= ASKS_WHILE_DRAWING)
+        started = self.distributor.started
+        asked_at_once = {
+            index for index in started if not self.distributor.fetches_from_origin(index)
+        }
+        self.assertTrue(0 < len(asked_at_once) <= PEER_REQUESTS_AT_START)
         self.distributor.origin.set()
         await running
         self.assertEqual(len(self.staged), 60)
 
     async def test_an_origin_that_is_gone_does_not_hold_up_what_peers_have(self) -> None:
         running = asyncio.ensure_future(self.download.run())
-        await asyncio.sleep(DRAWS_FIRST_SECONDS + 0.3)
-        drawn = sum(self.distributor.draws(index) for index in range(60))
-        self.assertEqual(len(self.staged), 60 - drawn)
+        await asyncio.sleep(ORIGIN_FIRST_SECONDS + 0.3)
+        from_origin = sum(self.distributor.fetches_from_origin(index) for index in range(60))
+        self.assertEqual(len(self.staged), 60 - from_origin)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
@@ -168,15 +172,15 @@
 
         async def count(plan: ChunkPlan, digest: str) -> bytes:
             nonlocal at_once, fetching
-            drawn = self.distributor.draws(plan.index_of(digest))
-            fetching += not drawn
+            from_origin = self.distributor.fetches_from_origin(plan.index_of(digest))
+            fetching += not from_origin
             at_once = max(at_once, fetching)
             await asyncio.sleep(0.001)
             content = await fetch(plan, digest)
-            fetching -= not drawn
+            fetching -= not from_origin
             return content
 
         self.distributor.fetch = count
         await self.download.run()
         imports = 4
-        self.assertLessEqual(at_once, ASKS_WHILE_DRAWING + imports)
+        self.assertLessEqual(at_once, PEER_REQUESTS_AT_START + imports)
--- a/wasabidrum/weights/version_manager.py
+++ b/wasabidrum/weights/version_manager.py
@@ -10,11 +10,11 @@
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.configuration_follower import ConfigurationFollower
-from .clock_guard import ClockGuard
+from .command_lock import CommandLock
 from .distributor import Distributor
-from .engine_extras import EngineExtras
-from .orderer_lock import OrdererLock
+from .engine_configurator import EngineConfigurator
 from .rollout_gate import RolloutGate
+from .suspension_guard import SuspensionGuard
 from .target import Target, find_target, region_of_endpoints
 from .version_download import VersionDownload, fetch_manifest
 
@@ -26,7 +26,7 @@
     """Controls one engine; works on one target at a time."""
 
     __slots__ = ("_name", "_follower", "_engine", "_distributor", "_gate", "_guard", "_lock")
-    __slots__ += ("_log", "_orders", "_previous", "_extras", "_logged")
+    __slots__ += ("_log", "_command_in_flight", "_previous", "_configurator", "_logged")
     __slots__ += ("active", "fetching", "chunks_held", "chunks_wanted")
 
     def __init__(
@@ -36,8 +36,8 @@
         engine: ModelEngine,
         distributor: Distributor,
         gate: RolloutGate,
-        guard: ClockGuard,
-        lock: OrdererLock,
+        guard: SuspensionGuard,
+        lock: CommandLock,
         log: EventLog,
     ) -> None:
         self._name = name
@@ -48,9 +48,9 @@
         self._guard = guard
         self._lock = lock
         self._log = log
-        self._orders = asyncio.Lock()
+        self._command_in_flight = asyncio.Lock()
         self._previous = ""
-        self._extras = EngineExtras(follower, engine, distributor, guard, log)
+        self._configurator = EngineConfigurator(follower, engine, distributor, guard, log)
         self._logged: tuple[str, str] = ("", "")
         self.active = ""
         self.fetching = ""
@@ -73,15 +73,15 @@
             if wanted == target:
                 continue
             if work is not None:
-                await self._end(work, target, wanted)
+                await self._cancel_work(work, target, wanted)
             if target is None or wanted is None or target.spec != wanted.spec:
-                self._gate.begin(revision)
-                self._distributor.begin()
+                self._gate.reset(revision)
+                self._distributor.begin_version()
             target = wanted
-            self._distributor.store.undecided = target is not None
-            work = asyncio.ensure_future(self._keep(target)) if target else None
+            self._distributor.store.chunks_unknown = target is not None
+            work = asyncio.ensure_future(self._reconcile_forever(target)) if target else None
 
-    async def _end(self, work: asyncio.Task, target: Target, wanted: Target | None) -> None:
+    async def _cancel_work(self, work: asyncio.Task, target: Target, wanted: Target | None) -> None:
         work.cancel()
         await asyncio.wait((work,))
         self._gate.state.staged = ""
@@ -94,32 +94,32 @@
             self._log.write(Event.VERSION_SUPERSEDED, version=target.version, by=newer)
         self.fetching = ""
 
-    async def _keep(self, target: Target) -> None:
+    async def _reconcile_forever(self, target: Target) -> None:
         """Reconciles the engine with the target, and again whenever the engine has lost it."""
-        async with self._orders:
+        async with self._command_in_flight:
             # A command of the previous target may still be in flight to the engine.
             pass
         while True:
             try:
-                await self._bring(target)
+                await self._reconcile(target)
             except* Exception as errors:
                 # Any error is survived: if this task ended, the engine would never receive
                 # another version. The reason is logged once and the work is retried.
-                self._report(target.version, repr(errors.exceptions[0]))
+                self._log_failure(target.version, repr(errors.exceptions[0]))
                 await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
-    def _report(self, version: str, reason: str) -> None:
+    def _log_failure(self, version: str, reason: str) -> None:
         if self._logged != (version, reason):
             self._logged = (version, reason)
             self._log.write(Event.VERSION_FAILED, version=version, reason=reason)
 
-    async def _bring(self, target: Target) -> None:
+    async def _reconcile(self, target: Target) -> None:
         endpoint = self._follower.current.fleet.endpoints.get(self._name)
         if endpoint is not None and endpoint.fencing:
             # The engine rejects stale commands by fencing token, so the lock is not required.
-            self._lock.try_take()
+            self._lock.try_acquire()
         else:
-            await self._lock.take()
+            await self._lock.acquire()
         state = self._gate.state
         if state.failed == target.version:
             # Evaluated before querying the engine, which this version may have crashed.
@@ -127,14 +127,14 @@
             await self._gate.judge_failure(order, target.version)
         active, _ = await self._engine.versions()
         if not active and self.active:
-            self._extras.forget()
+            self._configurator.clear()
         self.active = active
         if active and active != target.version:
             self._previous = active
         if active == target.version:
-            await self._stay(target)
+            await self._maintain_active(target)
         elif target.version in (state.stopped, state.failed):
-            await self._hold(target)
+            await self._hold_previous(target)
         else:
             await self._switch(target)
 
@@ -144,7 +144,7 @@
         await self._stage(target, target.version, order)
         state.staged = target.version
         model = self._follower.current.fleet.models[target.model]
-        if not await self._gate.wait_turn(order, model):
+        if not await self._gate.wait_for_turn(order, model):
             self._log.write(Event.VERSION_STOPPED, version=target.version)
             return
         try:
@@ -168,12 +168,12 @@
         region_of = region_of_endpoints(current, target.model)
         origin_region = current.fleet.links.origin_region
         distributor = self._distributor
-        distributor.spread = self._gate.state.proven == version
+        distributor.active_elsewhere = self._gate.state.proven == version
         manifest = await fetch_manifest(distributor, spec.root, region_of, origin_region)
         plan = ChunkPlan(spec.root, manifest.chunks, region_of, origin_region)
         distributor.share_link(plan)
-        distributor.store.want({spec.root, *manifest.chunks})
-        missing = await self._order_stage(version, manifest)
+        distributor.store.set_wanted({spec.root, *manifest.chunks})
+        missing = await self._send_stage(version, manifest)
         self.chunks_wanted = len(manifest.chunks)
         self.chunks_held = self.chunks_wanted - len(missing)
 
@@ -184,9 +184,9 @@
         await VersionDownload(distributor, plan, manifest, missing, deliver).run()
         self._log.write(Event.VERSION_STAGED, version=version, chunks=len(missing))
 
-    async def _order_stage(self, version: str, manifest: Manifest) -> list[int]:
+    async def _send_stage(self, version: str, manifest: Manifest) -> list[int]:
         await self._guard.confirm()
-        async with self._orders:
+        async with self._command_in_flight:
             return await self._engine.stage(version, manifest, self._follower.revision)
 
     async def _activate(self, target: Target, version: str) -> None:
@@ -195,7 +195,7 @@
         current = self._follower.current
         if find_target(current, self._name) != target:
             raise CodedError("superseded", "the configuration now names another target", 409)
-        order = asyncio.ensure_future(self._order_activate(version, current))
+        order = asyncio.ensure_future(self._send_activate(version, current))
         # A command that was sent cannot be recalled. It is shielded from cancellation and holds
         # the command lock until it ends, so that the next command cannot overtake it.
         await asyncio.shield(order)
@@ -203,18 +203,18 @@
         self.fetching = ""
         self._log.write(Event.VERSION_IN_FORCE, version=version)
 
-    async def _order_activate(self, version: str, current: FleetRevision) -> None:
-        async with self._orders:
+    async def _send_activate(self, version: str, current: FleetRevision) -> None:
+        async with self._command_in_flight:
             await self._engine.activate(version, current.revision)
 
-    async def _stay(self, target: Target) -> None:
+    async def _maintain_active(self, target: Target) -> None:
         """Monitors the active version, marks it proven after its soak time, and maintains
         adapters and role."""
         state = self._gate.state
         state.staged = ""
         self.fetching = ""
         self.chunks_held = self.chunks_wanted
-        await self._extras.order(target)
+        await self._configurator.order(target)
         if state.proven != target.version:
             model = self._follower.current.fleet.models[target.model]
             await asyncio.sleep(model.soak_seconds)
@@ -227,10 +227,10 @@
             return
         await asyncio.sleep(WATCH_SECONDS)
 
-    async def _hold(self, target: Target) -> None:
+    async def _hold_previous(self, target: Target) -> None:
         """Keeps the engine on the previous version while the target is stopped or has failed."""
         self.fetching = ""
-        self._distributor.store.undecided = False
+        self._distributor.store.chunks_unknown = False
         self._distributor.store.expected = set()
         order = self._gate.order_of(self._follower.current, target.model, target.spec.root)
         previous = self._previous or await self._gate.read_common_version(order)
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -35,21 +35,21 @@
 from .origin_draw import OriginDraw
 from .relay_members import RelayMembers
 from .shared_readings import (
-    MOST_ASKED,
+    MAX_PEERS_ASKED,
     EngineSetting,
     SharedReadings,
     VersionReading,
-    first_readers,
+    readers_before,
 )
 from .version_download import VersionDownload
 
 # The fraction of an entry's link that weights may use while it serves callers.
 LINK_FRACTION = 0.5
 # Number of relays in a region that hold each chunk: the second serves it if the first is down.
-HOLDERS_OF_CHUNK = 2
+HOLDERS_PER_CHUNK = 2
 # Limit for one version; the previous version stays in memory until the newer one is active.
-MOST_HELD_BYTES = CHUNK_MEMORY_BYTES // 2
-LOOK_SECONDS = 0.1
+MAX_HELD_BYTES = CHUNK_MEMORY_BYTES // 2
+POLL_SECONDS = 0.1
 PAUSE_SECONDS = 0.3
 # How often a relay whose share is complete recomputes it from the current members.
 REPLAN_SECONDS = 2.0
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RelayEffort:
+class RelayProgress:
     """Progress of the work for one target.
 
     Attributes:
@@ -137,17 +137,17 @@
             in_progress,
             log,
         )
-        self._distributor.hears_late = True
+        self._distributor.learns_versions_late = True
         self._distributor.pacer.links = LinkSpec(weights_fraction_instance=LINK_FRACTION)
         self._pieces: PieceList | None = None
-        self._effort = RelayEffort(0.0)
+        self._progress = RelayProgress(0.0)
         # The inputs from which the members were last computed.
         self._members_for: tuple[object, ...] = ()
 
     @property
     def held_version(self) -> int:
         """The version of which this relay holds its complete share; zero if none."""
-        return self._pieces.version if self._pieces is not None and self._effort.complete else 0
+        return self._pieces.version if self._pieces is not None and self._progress.complete else 0
 
     @property
     def routes(self) -> list[tuple]:
@@ -166,14 +166,14 @@
                     self._update_members(found.service)
                 if found != target or (work is not None and work.done()):
                     target = found
-                    await self._end(work)
-                    self._effort = RelayEffort(asyncio.get_running_loop().time())
-                    work = asyncio.ensure_future(self._keep(found)) if found else None
-                await asyncio.sleep(LOOK_SECONDS)
+                    await self._cancel_work(work)
+                    self._progress = RelayProgress(asyncio.get_running_loop().time())
+                    work = asyncio.ensure_future(self._retry_forever(found)) if found else None
+                await asyncio.sleep(POLL_SECONDS)
         finally:
-            await self._end(work)
+            await self._cancel_work(work)
 
-    async def _end(self, work: asyncio.Task[None] | None) -> None:
+    async def _cancel_work(self, work: asyncio.Task[None] | None) -> None:
         if work is not None:
             work.cancel()
             (error,) = await asyncio.gather(work, return_exceptions=True)
@@ -181,7 +181,7 @@
                 self._log.write(Event.TASK_FAILED, task="weights", reason=repr(error)[:500])
         # Until the next version's piece list is known, any chunk may belong to it.
         store = self._distributor.store
-        store.undecided = True
+        store.chunks_unknown = True
         store.expected = set()
         store.wake_all()
 
@@ -194,20 +194,20 @@
                 version = self._choose(choice, newest)
                 # Sidecars may request pieces of the newer version, whose list is not known yet.
                 if version != newest:
-                    self._distributor.store.undecided = True
+                    self._distributor.store.chunks_unknown = True
                 return RelayTarget(service.name, setting, version)
         return None
 
     def _choose(self, choice: VersionChoice, newest: int) -> int:
-        effort, store = self._effort, self._distributor.store
+        progress, store = self._progress, self._distributor.store
         now = asyncio.get_running_loop().time()
-        held = sum(store.get(digest) is not None for digest in effort.digests)
-        if held > effort.held:
-            effort.held = held
-            effort.progressed_at = now
-        complete = effort.complete or (bool(effort.digests) and held == len(effort.digests))
-        share = held / max(1, len(effort.digests))
-        return choice.choose(newest, share, now - effort.progressed_at, complete)
+        held = sum(store.get(digest) is not None for digest in progress.digests)
+        if held > progress.held:
+            progress.held = held
+            progress.progressed_at = now
+        complete = progress.complete or (bool(progress.digests) and held == len(progress.digests))
+        share = held / max(1, len(progress.digests))
+        return choice.choose(newest, share, now - progress.progressed_at, complete)
 
     def _update_members(self, service: str) -> None:
         """Updates members and relays if they have changed since the last call."""
@@ -219,15 +219,15 @@
         self._members.update((e for e in book.endpoints if e.service == service), relays)
         self._distributor.asker.relays = frozenset(relays)
 
-    async def _keep(self, target: RelayTarget) -> None:
+    async def _retry_forever(self, target: RelayTarget) -> None:
         self._readings.named_for = lambda: self._state.newest_seconds(target.setting.model)
         await self._readings.keep_setting(target.setting)
-        self._distributor.begin()
+        self._distributor.begin_version()
         reason = ""
         while True:
             pause = PAUSE_SECONDS
             try:
-                await self._bring(target)
+                await self._fetch_share(target)
                 pause = REPLAN_SECONDS
             except* CodedError as errors:
                 if reason != (reason := str(errors.exceptions[0])):
@@ -236,11 +236,11 @@
                     )
             await asyncio.sleep(pause)
 
-    async def _bring(self, target: RelayTarget) -> None:
+    async def _fetch_share(self, target: RelayTarget) -> None:
         pieces = await self._read_pieces(target)
         region, name = self._deployment.region, self._deployment.host
         self._distributor.asker.holders = self._members.holders(pieces.version, region)
-        self._distributor.spread = bool(self._distributor.asker.holders)
+        self._distributor.active_elsewhere = bool(self._distributor.asker.holders)
         manifest = manifest_of(pieces)
         origin_region = self._deployment.region_of.get(target.setting.origin_data_centre, "")
         members = self._members
@@ -248,20 +248,20 @@
             root_of(manifest), pieces.digests, members.region_of, origin_region, members.relays
         )
         store = self._distributor.store
-        own = own_chunks(plan, region, name, MOST_HELD_BYTES // max(1, pieces.piece_bytes))
-        self._effort.digests = tuple(pieces.digests[index] for index in own)
+        own = chunks_to_hold(plan, region, name, MAX_HELD_BYTES // max(1, pieces.piece_bytes))
+        self._progress.digests = tuple(pieces.digests[index] for index in own)
         missing = [index for index in own if store.get(pieces.digests[index]) is None]
-        self._effort.complete = not missing
-        store.want(pieces.digests)
+        self._progress.complete = not missing
+        store.set_wanted(pieces.digests)
         if not missing:
-            store.undecided = False
+            store.chunks_unknown = False
             return
         self._distributor.share_link(plan)
         download = VersionDownload(
-            self._distributor, plan, manifest, missing, keep_nothing, draws_first=False
+            self._distributor, plan, manifest, missing, ignore_chunk, origin_first=False
         )
         await download.run()
-        self._effort.complete = True
+        self._progress.complete = True
         self._log.write(Event.VERSION_RELAYED, version=pieces.version, chunks=len(missing))
 
     async def _read_pieces(self, target: RelayTarget) -> PieceList:
@@ -274,8 +274,8 @@
         own = self._deployment
         subject = f"{target.setting.model}/{wanted}"
         members, relays = self._members.members, self._members.relays
-        asked = first_readers(subject, own.host, own.region, members, relays)
-        pieces = await self._ask_pieces(asked, wanted)
+        asked = readers_before(subject, own.host, own.region, members, relays)
+        pieces = await self._request_pieces(asked, wanted)
         if pieces is None:
             try:
                 pieces = await self._origin.read_list(target.setting.model, wanted)
@@ -283,7 +283,7 @@
                 # Sidecars may know the list too, and the origin may be down for a long time.
                 near = [m for m in members if m.instance.region == own.region]
                 others = [m for m in near if m.name != own.host and m not in asked]
-                pieces = await self._ask_pieces(others[:MOST_ASKED], wanted)
+                pieces = await self._request_pieces(others[:MAX_PEERS_ASKED], wanted)
                 if pieces is None:
                     raise
         self._pieces = pieces
@@ -291,7 +291,7 @@
         self._log.write(Event.VERSION_WANTED, version=pieces.version, revision=wanted, adopted=0)
         return pieces
 
-    async def _ask_pieces(self, peers: list[MemberView], wanted: int) -> PieceList | None:
+    async def _request_pieces(self, peers: list[MemberView], wanted: int) -> PieceList | None:
         shared = await self._readings.ask_version(peers, wanted)
         if shared is None:
             return None
@@ -299,20 +299,20 @@
         return shared.pieces
 
 
-def own_chunks(plan: ChunkPlan, region: str, name: str, most: int) -> list[int]:
+def chunks_to_hold(plan: ChunkPlan, region: str, name: str, limit: int) -> list[int]:
     """Returns the indexes of the chunks that a relay is to hold.
 
     Args:
-      most: How many fit into its memory; sidecars fetch the rest themselves.
+      limit: How many fit into its memory; sidecars fetch the rest themselves.
     """
     own = plan.regions.get(region)
     if own is None:
         return []
     indexes = range(plan.chunk_count)
-    return [i for i in indexes if name in own.order(i)[:HOLDERS_OF_CHUNK]][:most]
+    return [i for i in indexes if name in own.order(i)[:HOLDERS_PER_CHUNK]][:limit]
 
 
-async def keep_nothing(index: int, content: bytes) -> None:
+async def ignore_chunk(index: int, content: bytes) -> None:
     """Does nothing with a delivered chunk, because the store holds it already."""
 
 
--- a/wasabidrum/weights/weights_side.py
+++ b/wasabidrum/weights/weights_side.py
@@ -16,12 +16,12 @@
 from ..platform.configuration_service import ConfigurationService
 from ..platform.http_blob_source import make_blob_source
 from .chunk_handler import ChunkHandler
-from .clock_guard import ClockGuard
+from .command_lock import CommandLock
 from .distributor import Distributor
-from .orderer_lock import OrdererLock
 from .origin_draw import OriginDraw
 from .rollout_gate import RolloutGate
 from .status_client import StatusClient
+from .suspension_guard import SuspensionGuard
 from .version_manager import VersionManager
 
 
@@ -44,8 +44,8 @@
 
     distributor: Distributor
     gate: RolloutGate
-    guard: ClockGuard
-    lock: OrdererLock
+    guard: SuspensionGuard
+    lock: CommandLock
     statuses: StatusClient
     manager: VersionManager
 
@@ -84,8 +84,8 @@
             "chunks_in_memory": distributor.store.count,
             "bytes_in_memory": distributor.store.size,
             "expected": len(distributor.store.expected),
-            "drawing": sorted(distributor.store.drawing),
-            "passed_over": distributor.avoided_names(),
+            "drawing": sorted(distributor.store.fetching_from_origin),
+            "passed_over": distributor.skipped_peers(),
             "orders": self.lock.held,
             "statuses_asked": self.statuses.asked,
         }
@@ -108,7 +108,7 @@
     distributor = Distributor(settings, membership, client, origin, in_progress, log)
     statuses = StatusClient(client, membership)
     gate = RolloutGate(settings.name, statuses, log)
-    guard = ClockGuard(configuration, ask_peers, follower, log)
-    lock = OrdererLock(settings.endpoint.url, log)
+    guard = SuspensionGuard(configuration, ask_peers, follower, log)
+    lock = CommandLock(settings.endpoint.url, log)
     manager = VersionManager(settings.name, follower, engine, distributor, gate, guard, lock, log)
     return WeightsSide(distributor, gate, guard, lock, statuses, manager)
--- a/wasabidrum/wire/http_client.py
+++ b/wasabidrum/wire/http_client.py
@@ -17,17 +17,17 @@
 from .numeric_resolver import NumericResolver
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-CLIENTS_AT_ONCE = 10_000
-LARGEST_BODY_BYTES = 64 * 1_048_576
+MAX_CLIENTS = 10_000
+MAX_BODY_BYTES = 64 * 1_048_576
 END_OF_STREAM = object()
 
 
 def make_client() -> httpclient.AsyncHTTPClient:
-    """Returns a client that opens a connection per request, so that responses cannot be mixed up."""
+    """Returns a client that opens a connection per request, so that responses cannot cross."""
     return httpclient.AsyncHTTPClient(
         force_instance=True,
-        max_clients=CLIENTS_AT_ONCE,
-        max_body_size=LARGEST_BODY_BYTES,
+        max_clients=MAX_CLIENTS,
+        max_body_size=MAX_BODY_BYTES,
         resolver=NumericResolver(),
         defaults={
             "connect_timeout": CONNECT_TIMEOUT_SECONDS,
@@ -37,7 +37,7 @@
     )
 
 
-def explain_failure(error: BaseException, what: str) -> CodedError:
+def classify_failure(error: BaseException, what: str) -> CodedError:
     """Converts a client failure into a coded error.
 
     Returns:
@@ -56,13 +56,13 @@
 class ResponseStream:
     """A response that is read while it arrives."""
 
-    __slots__ = ("status", "headers", "_queue", "_dropped")
+    __slots__ = ("status", "headers", "_queue", "_discarded")
 
     def __init__(self) -> None:
         self.status = 0
         self.headers = httputil.HTTPHeaders()
         self._queue: asyncio.Queue[object] = asyncio.Queue()
-        self._dropped = False
+        self._discarded = False
 
     def take_header_line(self, line: str) -> None:
         """Processes one line of the response head."""
@@ -74,7 +74,7 @@
 
     def take_chunk(self, chunk: bytes) -> None:
         """Processes some bytes of the body."""
-        if not self._dropped:
+        if not self._discarded:
             self._queue.put_nowait(chunk)
 
     def finish(self, error: CodedError | None) -> None:
@@ -85,7 +85,7 @@
         """Discards what has arrived and what may still arrive of an abandoned response."""
         # When a stalled link recovers, it delivers the rest of abandoned responses. If kept, they
         # would fill the memory of an entry whose callers have long disconnected.
-        self._dropped = True
+        self._discarded = True
         self._queue = asyncio.Queue()
 
     async def chunks(self) -> collections.abc.AsyncIterator[bytes]:
@@ -131,7 +131,7 @@
         if done.cancelled():
             error = CodedError("cancelled", what, 499, Outcome.UNKNOWN)
         elif done.exception() is not None:
-            error = explain_failure(done.exception(), what)
+            error = classify_failure(done.exception(), what)
         stream.finish(error)
         if head_arrived.done():
             return
@@ -172,7 +172,7 @@
     try:
         return await raise_on_599(client.fetch(request, raise_error=False))
     except (OSError, httpclient.HTTPError) as error:
-        raise explain_failure(error, what) from error
+        raise classify_failure(error, what) from error
 
 
 async def post_json(
--- a/wasabidrum/wire/tls.py
+++ b/wasabidrum/wire/tls.py
@@ -62,17 +62,17 @@
           on_change: Called with "" after new files were loaded, and with the reason when they could
             not be loaded, again only if the reason changes.
         """
-        told = ""
+        reported = ""
         while True:
             await asyncio.sleep(RELOAD_SECONDS)
             try:
                 if self.reload():
-                    told = ""
+                    reported = ""
                     on_change("")
             except CodedError as error:
-                if str(error) != told:
-                    told = str(error)
-                    on_change(told)
+                if str(error) != reported:
+                    reported = str(error)
+                    on_change(reported)
 
     def _read_digest(self) -> str:
         files = (self._settings.certificate, self._settings.key, self._settings.authority)
@@ -83,7 +83,7 @@
         context.load_verify_locations(self._settings.authority)
 
 
-IN_FORCE: contextvars.ContextVar[FleetTls | None] = contextvars.ContextVar("tls", default=None)
+CURRENT_TLS: contextvars.ContextVar[FleetTls | None] = contextvars.ContextVar("tls", default=None)
 
 
 def make_context(protocol: int) -> ssl.SSLContext:
@@ -108,22 +108,22 @@
         return None
     tls = FleetTls(settings)
     tls.reload()
-    IN_FORCE.set(tls)
+    CURRENT_TLS.set(tls)
     return tls
 
 
 def server_context() -> ssl.SSLContext | None:
     """Returns the context for a listener of this process, or None without TLS."""
-    tls = IN_FORCE.get()
+    tls = CURRENT_TLS.get()
     return tls.server_context if tls else None
 
 
 def client_context() -> ssl.SSLContext | None:
     """Returns the context for a connection to the fleet, or None without TLS."""
-    tls = IN_FORCE.get()
+    tls = CURRENT_TLS.get()
     return tls.client_context if tls else None
 
 
 def fleet_url(host: str, port: int) -> str:
     """Returns the URL at which an instance accepts requests of the fleet."""
-    return f"{'https' if IN_FORCE.get() else 'http'}://{host}:{port}"
+    return f"{'https' if CURRENT_TLS.get() else 'http'}://{host}:{port}"
