--- a/wasabidrum/observe/event_log.py
+++ b/wasabidrum/observe/event_log.py
@@ -33,17 +33,17 @@
     """Logs the events of one daemon, each with the daemon's name.
 
     Attributes:
-      memory: The latest events, for `wasabidrum explain`.
+      buffer: The latest events, for `wasabidrum explain`.
       metrics: The metrics counted from events.
     """
 
-    __slots__ = ("_logger", "_name", "_rate_limit", "memory", "metrics")
+    __slots__ = ("_logger", "_name", "_rate_limit", "buffer", "metrics")
 
     def __init__(self, logger: logbook.Logger, name: str) -> None:
         self._logger = logger
         self._name = name
         self._rate_limit = LineRateLimit()
-        self.memory = EventBuffer()
+        self.buffer = EventBuffer()
         self.metrics = Metrics()
 
     @property
@@ -65,7 +65,7 @@
         fields = {"t": round(now, 3), "n": int(event), "event": event.name.lower()}
         fields |= {"daemon": self._name} | facts
         line = msgspec.json.encode(fields).decode()
-        self.memory.add(line)
+        self.buffer.add(line)
         self._logger.info(line)
 
 
--- a/wasabidrum/observe/events_handler.py
+++ b/wasabidrum/observe/events_handler.py
@@ -27,7 +27,7 @@
 
     def get(self) -> None:
         """Responds with the events of a request and the time of the oldest event in memory."""
-        memory = self._log.memory
-        found = memory.find(self.get_query_argument("request"))
+        buffer = self._log.buffer
+        found = buffer.find(self.get_query_argument("request"))
         self.set_header("Content-Type", "application/json")
-        self.write(msgspec.json.encode(FoundEvents(self._log.name, memory.oldest(), found)))
+        self.write(msgspec.json.encode(FoundEvents(self._log.name, buffer.oldest(), found)))
--- a/wasabidrum/weights/chunk_handler.py
+++ b/wasabidrum/weights/chunk_handler.py
@@ -27,7 +27,7 @@
         """Stores the distributor passed by the route."""
         self.distributor = distributor
         self.closed = asyncio.Event()
-        if headers.ASKER in self.request.headers:
+        if headers.REQUESTER in self.request.headers:
             distributor.record_request()
 
     def head(self, digest: str) -> None:
@@ -60,8 +60,8 @@
     async def send(self, digest: str, content: bytes) -> None:
         """Sends a chunk in slices within its reserved time."""
         loop = asyncio.get_running_loop()
-        region = self.request.headers.get(headers.ASKER_REGION, "")
-        rate = float(self.request.headers.get(headers.ASKER_RATE, "0"))
+        region = self.request.headers.get(headers.REQUESTER_REGION, "")
+        rate = float(self.request.headers.get(headers.REQUESTER_RATE, "0"))
         reserved = self.distributor.pacer.reserve(region, len(content), rate)
         # Announces the start time; otherwise the requester would take queueing for a stall.
         self.set_header(headers.CHUNK_STATE, ChunkState.HELD.value)
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -296,7 +296,7 @@
         self.store.fetching_from_origin.add(digest)
         began = self._now()
         try:
-            content = await self._origin.draw(digest)
+            content = await self._origin.fetch(digest)
         except CodedError as error:
             self._log.write(Event.CHUNK_DRAW_FAILED, chunk=digest, code=error.code)
             pause = min(MAX_PAUSE_SECONDS, MIN_PAUSE_SECONDS * 2 ** min(rounds, 5))
--- a/wasabidrum/weights/origin_draw.py
+++ b/wasabidrum/weights/origin_draw.py
@@ -16,7 +16,7 @@
         self._sources = sources
         self._busy_until = [0.0] * len(sources)
 
-    async def draw(self, digest: str) -> bytes:
+    async def fetch(self, digest: str) -> bytes:
         """Returns verified content.
 
         Raises:
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -149,10 +149,10 @@
             f"{url}/internal/chunks/{digest}?wait={wait}",
             method="HEAD" if probe else "GET",
             headers={
-                headers.ASKER: self._name,
-                headers.ASKER_REGION: self._region,
+                headers.REQUESTER: self._name,
+                headers.REQUESTER_REGION: self._region,
                 headers.REVISION: str(revision),
-                headers.ASKER_RATE: f"{rate:.0f}",
+                headers.REQUESTER_RATE: f"{rate:.0f}",
             },
             header_callback=download.take_header_line,
             streaming_callback=download.take_body_part,
--- a/wasabidrum/wire/headers.py
+++ b/wasabidrum/wire/headers.py
@@ -24,9 +24,9 @@
 ANSWER_DIGEST = "X-Wd-Answer-Digest"
 
 # Headers of chunk requests between the fleet's processes.
-ASKER = "X-Wd-Asker"
-ASKER_REGION = "X-Wd-Asker-Region"
-ASKER_RATE = "X-Wd-Asker-Rate"
+REQUESTER = "X-Wd-Asker"
+REQUESTER_REGION = "X-Wd-Asker-Region"
+REQUESTER_RATE = "X-Wd-Asker-Rate"
 CHUNK_STATE = "X-Wd-Chunk"
 CHUNK_STARTS_IN = "X-Wd-Starts-In"
 CHUNK_SECONDS = "X-Wd-Seconds"
