--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -23,7 +23,7 @@
 from ..weights.distributor import Distributor
 from ..weights.engine_controller import EngineController
 from ..weights.listed_engines import ListedEngines
-from ..weights.origin_draw import OriginDraw
+from ..weights.origin_fetcher import OriginFetcher
 from ..weights.shared_readings import SharedReadings
 from ..wire import http_client
 from .load_service import LoadService
@@ -52,7 +52,7 @@
             distribution_settings(deployment, "sidecar"),
             self._listed,
             client,
-            OriginDraw([origin]),
+            OriginFetcher([origin]),
             self._requests_at_engine,
             log,
         )
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -20,7 +20,7 @@
 from .chunk_state import ChunkState
 from .chunk_store import ChunkStore
 from .link_pacer import LinkPacer
-from .origin_draw import OriginDraw
+from .origin_fetcher import OriginFetcher
 from .transfer_counts import TransferCounts
 
 # A sidecar that has received no request yet assumes that peers don't know it, ranks itself last and
@@ -72,7 +72,7 @@
         settings: Settings,
         membership: Membership,
         client: httpclient.AsyncHTTPClient,
-        origin: OriginDraw,
+        origin: OriginFetcher,
         in_progress: collections.abc.Callable[[], int],
         log: EventLog,
     ) -> None:
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -13,7 +13,7 @@
 from ..peers.member_view import MemberView
 from .chunk_state import ChunkState
 from .distributor import Distributor
-from .origin_draw import OriginDraw
+from .origin_fetcher import OriginFetcher
 from .peer_chunk_client import PeerAnswer, SilenceCheck
 
 CONTENT = b"a chunk"
@@ -82,7 +82,7 @@
         platform=PlatformSettings(configuration="", instances="", origin=""),
     )
     log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
-    origin = OriginDraw([FixedOrigin()])
+    origin = OriginFetcher([FixedOrigin()])
     return Distributor(settings, FixedMembership(), None, origin, lambda: in_progress, log)
 
 
--- a/wasabidrum/weights/origin_draw.py
+++ b/wasabidrum/weights/origin_fetcher.py
@@ -7,7 +7,7 @@
 from ..platform.blob_source import BlobSource
 
 
-class OriginDraw:
+class OriginFetcher:
     """Tries the sources in order, and skips one until the time in its Retry-After header."""
 
     __slots__ = ("_sources", "_busy_until")
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -32,7 +32,7 @@
 from .deployed_settings import CHUNK_MEMORY_BYTES, distribution_settings
 from .distributor import Distributor
 from .listed_engines import find_setting
-from .origin_draw import OriginDraw
+from .origin_fetcher import OriginFetcher
 from .relay_members import RelayMembers
 from .shared_readings import (
     MAX_PEERS_ASKED,
@@ -133,7 +133,7 @@
             distribution_settings(deployment, "entry"),
             self._members,
             client,
-            OriginDraw([self._origin]),
+            OriginFetcher([self._origin]),
             in_progress,
             log,
         )
--- a/wasabidrum/weights/weights_side.py
+++ b/wasabidrum/weights/weights_side.py
@@ -18,7 +18,7 @@
 from .chunk_handler import ChunkHandler
 from .command_lock import CommandLock
 from .distributor import Distributor
-from .origin_draw import OriginDraw
+from .origin_fetcher import OriginFetcher
 from .rollout_gate import RolloutGate
 from .status_client import StatusClient
 from .suspension_guard import SuspensionGuard
@@ -104,7 +104,7 @@
 ) -> WeightsSide:
     """Returns the components of one sidecar; their background tasks are not started yet."""
     urls = [url for url in (settings.platform.store, settings.platform.origin) if url]
-    origin = OriginDraw([make_blob_source(client, url) for url in urls])
+    origin = OriginFetcher([make_blob_source(client, url) for url in urls])
     distributor = Distributor(settings, membership, client, origin, in_progress, log)
     statuses = StatusClient(client, membership)
     gate = RolloutGate(settings.name, statuses, log)
