--- a/wasabidrum/sidecar/daemon.py
+++ b/wasabidrum/sidecar/daemon.py
@@ -30,7 +30,7 @@
 from ..peers.peer_node import PeerNode
 from ..platform.http_configuration_service import make_configuration_service
 from ..platform.http_instance_directory import make_instance_directory
-from ..weights.weights_side import WeightsSide, make_weights_side
+from ..weights.sidecar_weights import SidecarWeights, make_sidecar_weights
 from ..wire import http_client, tls
 from . import call_handlers
 from .attempts import Attempts
@@ -58,7 +58,7 @@
         self.deaths = DeathRecord()
         self.engine: ModelEngine | None = None
         self.service: PlainService | None = None
-        self.weights: WeightsSide | None = None
+        self.weights: SidecarWeights | None = None
         self.tasks = BackgroundTasks(self._report_failure)
         self.attempts = Attempts()
         self.keyed_calls = KeyedCalls(make_ledger(self._incarnation), self.tasks, log)
@@ -74,7 +74,7 @@
             self.membership = self._listed
         if settings.endpoint.kind == "engine":
             self.engine = make_model_engine(self._client, settings.endpoint.url)
-            self.weights = make_weights_side(
+            self.weights = make_sidecar_weights(
                 settings,
                 self._client,
                 self.engine,
--- a/wasabidrum/weights/weights_side.py
+++ b/wasabidrum/weights/sidecar_weights.py
@@ -28,7 +28,7 @@
 class WeightsHandler(web.RequestHandler):
     """GET /internal/weights: diagnostics for operators when a rollout makes no progress."""
 
-    def initialize(self, weights: "WeightsSide") -> None:
+    def initialize(self, weights: "SidecarWeights") -> None:
         """Stores the components passed by the route."""
         self.weights = weights
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WeightsSide:
+class SidecarWeights:
     """Distribution, rollout and engine control of one sidecar."""
 
     distributor: Distributor
@@ -91,7 +91,7 @@
         }
 
 
-def make_weights_side(
+def make_sidecar_weights(
     settings: Settings,
     client: httpclient.AsyncHTTPClient,
     engine: ModelEngine,
@@ -101,7 +101,7 @@
     membership: Membership,
     in_progress: collections.abc.Callable[[], int],
     log: EventLog,
-) -> WeightsSide:
+) -> SidecarWeights:
     """Returns the components of one sidecar; their background tasks are not started yet."""
     urls = [url for url in (settings.platform.store, settings.platform.origin) if url]
     origin = OriginFetcher([make_blob_source(client, url) for url in urls])
@@ -111,4 +111,4 @@
     guard = SuspensionGuard(configuration, ask_peers, follower, log)
     lock = CommandLock(settings.endpoint.url, log)
     manager = VersionManager(settings.name, follower, engine, distributor, gate, guard, lock, log)
-    return WeightsSide(distributor, gate, guard, lock, statuses, manager)
+    return SidecarWeights(distributor, gate, guard, lock, statuses, manager)
