--- a/wasabidrum/weights/chunk_requester_test.py
+++ b/wasabidrum/weights/chunk_requester_test.py
@@ -11,7 +11,7 @@
     async def test_one_that_left_the_list_is_waited_at_no_longer(self) -> None:
         """A suspended sidecar receives a request just before the platform removes it from the list.
         It cannot be probed after that, and engines lack one chunk until it resumes."""
-        requester = make_distributor("a").asker
+        requester = make_distributor("a").chunk_requester
         membership = FixedMembership()
         requester._membership = membership
         membership.members = [view for view in membership.members if view.name != "b"]
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -57,7 +57,7 @@
         hold it.
     """
 
-    __slots__ = ("_settings", "_origin", "_log", "asker", "store", "pacer", "counts")
+    __slots__ = ("_settings", "_origin", "_log", "chunk_requester", "store", "pacer", "counts")
     __slots__ += (
         "active_elsewhere",
         "learns_versions_late",
@@ -82,7 +82,7 @@
         self.store = ChunkStore(settings.chunk_memory_bytes)
         self.pacer = LinkPacer(settings.region, settings.link_mbit, in_progress)
         self.counts = TransferCounts()
-        self.asker = ChunkRequester(settings, membership, client, self.counts, log)
+        self.chunk_requester = ChunkRequester(settings, membership, client, self.counts, log)
         self.learns_versions_late = False
         self.active_elsewhere = False
         self._requested = asyncio.Event()
@@ -93,7 +93,7 @@
     @property
     def late_seconds(self) -> float:
         """How many seconds later than expected the last chunk from a peer was complete."""
-        return self.asker.late_seconds
+        return self.chunk_requester.late_seconds
 
     @property
     def _is_sidecar(self) -> bool:
@@ -107,7 +107,7 @@
             return ChunkState.DRAWING
         # A requester with a newer configuration may need a chunk that this process will need in a
         # moment. LACKING would send it to the origin for a chunk that is about to arrive here.
-        behind = requester_revision > self.asker.revision
+        behind = requester_revision > self.chunk_requester.revision
         newer = self.learns_versions_late and not self.store.is_wanted(digest)
         if digest in self.store.expected or self.store.chunks_unknown or behind or newer:
             return ChunkState.COMING
@@ -127,12 +127,12 @@
         if region is None:
             return
         now = asyncio.get_running_loop().time()
-        members = self.asker.members()
+        members = self.chunk_requester.members()
         carriers = [
             name
             for name in region.carriers
             if name == self._settings.name
-            or (name in members and not self.asker.health.is_skipped(name, now))
+            or (name in members and not self.chunk_requester.health.is_skipped(name, now))
         ]
         # Any member may stand in for dead carriers, so each takes a share small enough that all
         # members together stay within the link's limit.
@@ -154,7 +154,8 @@
         relays = region.relays if region is not None else ()
         now = self._now()
         usable = any(
-            name in self.asker.members() and not self.asker.health.is_skipped(name, now)
+            name in self.chunk_requester.members()
+            and not self.chunk_requester.health.is_skipped(name, now)
             for name in relays
         )
         if usable and self._settings.name not in relays:
@@ -170,7 +171,7 @@
             if step.kind is FetchStepKind.FROM_PEER:
                 async with self._request_slot():
                     rate = self._inbound_rate(step.peer)
-                    content, state = await self.asker.request_chunk(
+                    content, state = await self.chunk_requester.request_chunk(
                         step.peer, digest, self._hold_seconds(), rate
                     )
                 waits += 1
@@ -178,7 +179,7 @@
                 if state is ChunkState.LACKING or (state is ChunkState.COMING and stuck):
                     # A peer that only waits itself is skipped too, because its path to the chunk
                     # may be cut while another path works.
-                    self.asker.health.record_lack(step.peer, digest, self._now())
+                    self.chunk_requester.health.record_lack(step.peer, digest, self._now())
             else:
                 content = await self._fetch_into_region(plan, index, digest, step, rounds)
                 rounds += 1
@@ -198,14 +199,14 @@
 
     def skipped_peers(self) -> list[str]:
         """Returns the peers that are currently skipped."""
-        return self.asker.health.skipped_names(self._now())
+        return self.chunk_requester.health.skipped_names(self._now())
 
     def _inbound_rate(self, peer: str) -> float:
         """Returns the rate limit in bytes per second for a peer; zero leaves it to the peer."""
-        pace = self.asker.pace
+        pace = self.chunk_requester.pace
         if self._yields_link():
             return pace.rate
-        if self._is_sidecar and peer in self.asker.relays:
+        if self._is_sidecar and peer in self.chunk_requester.relays:
             return pace.link_rate / MAX_RELAY_REQUESTS
         return 0.0
 
@@ -220,7 +221,7 @@
 
     def _yields_link(self) -> bool:
         """Returns whether weights yield a narrow link to requests for the local engine."""
-        return self._is_sidecar and self.asker.pace.narrow and self._in_progress() > 0
+        return self._is_sidecar and self.chunk_requester.pace.narrow and self._in_progress() > 0
 
     def _hold_seconds(self) -> float:
         """Returns how many seconds a peer may hold a request for a chunk that it expects."""
@@ -248,14 +249,14 @@
             return (
                 name in members
                 and name != self._settings.name
-                and not self.asker.health.is_skipped(name, now)
-                and not self.asker.health.lacks(name, digest, now)
+                and not self.chunk_requester.health.is_skipped(name, now)
+                and not self.chunk_requester.health.lacks(name, digest, now)
             )
 
         return usable
 
     def _find_step(self, plan: ChunkPlan, index: int, digest: str) -> FetchStep:
-        members = self.asker.members()
+        members = self.chunk_requester.members()
         requester = self._make_requester(members)
         usable = self._usable(digest, members)
         if self._settings.weights_from == "origin":
@@ -265,13 +266,15 @@
         relay = chunk_source_choice.find_relay(plan, requester, index, usable)
         if relay:
             return FetchStep(FetchStepKind.FROM_PEER, relay)
-        holder = chunk_source_choice.find_holder(self.asker.holders, requester.name, digest, usable)
+        holder = chunk_source_choice.find_holder(
+            self.chunk_requester.holders, requester.name, digest, usable
+        )
         if holder:
             return FetchStep(FetchStepKind.FROM_PEER, holder)
         return chunk_source_choice.find_step(plan, requester, index, usable)
 
     def _store_chunk(self, plan: ChunkPlan, index: int, digest: str, content: bytes) -> None:
-        requester = self._make_requester(self.asker.members())
+        requester = self._make_requester(self.chunk_requester.members())
         rank = chunk_source_choice.retention_rank(plan, requester, digest)
         self.share_link(plan)
         self.store.add(
@@ -290,7 +293,7 @@
             found, content = await self._request_from_holder(plan, index, digest, rounds)
             if found or (self.active_elsewhere and rounds < PROBE_ROUNDS_WHEN_ACTIVE):
                 return content
-            if rounds < OWN_LINK_DOUBT_ROUNDS and self.asker.own_link_suspected():
+            if rounds < OWN_LINK_DOUBT_ROUNDS and self.chunk_requester.own_link_suspected():
                 await asyncio.sleep(SLOW_BACKOFF_SECONDS)
                 return None
         self.store.fetching_from_origin.add(digest)
@@ -304,7 +307,7 @@
         finally:
             self.store.fetching_from_origin.discard(digest)
             self.store.wake(digest)
-            self.asker.record_origin_duration(self._now() - began)
+            self.chunk_requester.record_origin_duration(self._now() - began)
         if content is None:
             await asyncio.sleep(pause)
         else:
@@ -338,7 +341,7 @@
         Returns:
           Whether such a peer was found, and the content if it sent it.
         """
-        members = self.asker.members()
+        members = self.chunk_requester.members()
         requester = self._make_requester(members)
         # Includes peers that lacked the chunk a moment ago: they may have it now, and probes are
         # cheap.
@@ -348,13 +351,13 @@
             requester,
             index,
             digest,
-            lambda name: name in members and not self.asker.health.is_skipped(name, now),
+            lambda name: name in members and not self.chunk_requester.health.is_skipped(name, now),
             rounds,
         )
-        states = await self.asker.probe(names, digest)
+        states = await self.chunk_requester.probe(names, digest)
         for wanted in (ChunkState.HELD, ChunkState.DRAWING):
             for name, state in zip(names, states, strict=True):
                 if state is wanted:
-                    content, _ = await self.asker.request_chunk(name, digest)
+                    content, _ = await self.chunk_requester.request_chunk(name, digest)
                     return True, content
         return False, None
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -100,7 +100,7 @@
         first, second = plan.regions["r"].order(0)
         fleet = {name: make_distributor(name) for name in ("a", "b")}
         for distributor in fleet.values():
-            distributor.asker.peers = DirectPeers(fleet)
+            distributor.chunk_requester.peers = DirectPeers(fleet)
             distributor.store.expected = {DIGEST}
             distributor.begin_version()
         began = asyncio.get_running_loop().time()
@@ -152,10 +152,10 @@
         contents = {digest_of(bytes([n])): bytes([n]) for n in range(12)}
         plan = ChunkPlan("root", tuple(contents), {"a": "r", "b": "r"})
         distributor = make_distributor("a", in_progress)
-        peers = distributor.asker.peers = CountingPeers(contents)
-        distributor.asker.relays = frozenset(("b",))
-        distributor.asker.holders = frozenset(("b",))
-        distributor.asker.pace.record(49_152, 2, 0.4, 2.0)
+        peers = distributor.chunk_requester.peers = CountingPeers(contents)
+        distributor.chunk_requester.relays = frozenset(("b",))
+        distributor.chunk_requester.holders = frozenset(("b",))
+        distributor.chunk_requester.pace.record(49_152, 2, 0.4, 2.0)
         distributor.begin_version()
         await asyncio.gather(*(distributor.fetch(plan, digest) for digest in contents))
         return peers
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -154,10 +154,10 @@
 
     def _update_holders(self) -> None:
         if self._staging_version:
-            self._distributor.asker.holders = self._listed.holders(self._staging_version)
+            self._distributor.chunk_requester.holders = self._listed.holders(self._staging_version)
 
     def _update_relays(self) -> None:
-        self._distributor.asker.relays = frozenset(self._listed.relays)
+        self._distributor.chunk_requester.relays = frozenset(self._listed.relays)
 
     def _log_failure(self, wanted: int, reason: str) -> None:
         if reason != self._logged_reason:
--- a/wasabidrum/weights/version_manager.py
+++ b/wasabidrum/weights/version_manager.py
@@ -66,7 +66,7 @@
             current = await self._follower.wait_after(revision)
             revision = current.revision
             wanted = find_target(current, self._name)
-            self._distributor.asker.revision = revision
+            self._distributor.chunk_requester.revision = revision
             self._distributor.pacer.links = current.fleet.links
             # Most revisions do not change this target. Restarting on each of them would keep a
             # large version from completing while the configuration keeps changing.
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -217,7 +217,7 @@
             return
         self._members_for = known
         self._members.update((e for e in book.endpoints if e.service == service), relays)
-        self._distributor.asker.relays = frozenset(relays)
+        self._distributor.chunk_requester.relays = frozenset(relays)
 
     async def _retry_forever(self, target: RelayTarget) -> None:
         self._readings.named_for = lambda: self._state.newest_seconds(target.setting.model)
@@ -239,8 +239,8 @@
     async def _fetch_share(self, target: RelayTarget) -> None:
         pieces = await self._read_pieces(target)
         region, name = self._deployment.region, self._deployment.host
-        self._distributor.asker.holders = self._members.holders(pieces.version, region)
-        self._distributor.active_elsewhere = bool(self._distributor.asker.holders)
+        self._distributor.chunk_requester.holders = self._members.holders(pieces.version, region)
+        self._distributor.active_elsewhere = bool(self._distributor.chunk_requester.holders)
         manifest = manifest_of(pieces)
         origin_region = self._deployment.region_of.get(target.setting.origin_data_centre, "")
         members = self._members
