--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -75,7 +75,7 @@
         log.metrics.add_gauge(
             "weights_inbound_bytes_per_second",
             "How fast weights may come here beside requests, by what came through lately.",
-            lambda: self._distributor.chunk_requester.pace.rate,
+            lambda: self._distributor.chunk_requester.inbound_limit.rate,
         )
         self._loads.on_relays = self._listed.set_relays
         self._loads.on_entry = self._record_limits
--- a/wasabidrum/weights/chunk_requester.py
+++ b/wasabidrum/weights/chunk_requester.py
@@ -39,7 +39,7 @@
       relays: Members that serve chunks but are not sidecars.
       revision: The configuration revision of this process; peers may lag behind it.
       late_seconds: How much later than announced the last chunk was complete.
-      pace: The limit on the rate at which peers may send.
+      inbound_limit: The limit on the rate at which peers may send.
     """
 
     __slots__ = ("_name", "_region", "_membership", "_log", "_prober", "_counts")
@@ -50,7 +50,7 @@
         "relays",
         "late_seconds",
         "revision",
-        "pace",
+        "inbound_limit",
         "_open",
     )
 
@@ -75,7 +75,9 @@
         self.late_seconds = 0.0
         self.revision = 0
         self._open = 0
-        self.pace = InboundRateLimit(settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION)
+        self.inbound_limit = InboundRateLimit(
+            settings.link_mbit * BYTES_PER_MEGABIT * LINK_FRACTION
+        )
 
     def members(self) -> dict[str, MemberView]:
         """Returns the listed sidecars and the relays, by name."""
@@ -150,7 +152,7 @@
     def _record_content(self, view: MemberView, answer: PeerAnswer) -> None:
         size, late_seconds = len(answer.content), answer.late_seconds
         self.late_seconds = late_seconds
-        self.pace.record(size, self._open + 1, answer.sending_seconds, late_seconds)
+        self.inbound_limit.record(size, self._open + 1, answer.sending_seconds, late_seconds)
         if view.name in self.holders and late_seconds > SLOW_SECONDS:
             self.health.record_slow(view.name, self._now())
         self._counts.asks_answered += 1
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -203,11 +203,11 @@
 
     def _inbound_rate(self, peer: str) -> float:
         """Returns the rate limit in bytes per second for a peer; zero leaves it to the peer."""
-        pace = self.chunk_requester.pace
+        inbound_limit = self.chunk_requester.inbound_limit
         if self._yields_link():
-            return pace.rate
+            return inbound_limit.rate
         if self._is_sidecar and peer in self.chunk_requester.relays:
-            return pace.link_rate / MAX_RELAY_REQUESTS
+            return inbound_limit.link_rate / MAX_RELAY_REQUESTS
         return 0.0
 
     @contextlib.asynccontextmanager
@@ -221,7 +221,11 @@
 
     def _yields_link(self) -> bool:
         """Returns whether weights yield a narrow link to requests for the local engine."""
-        return self._is_sidecar and self.chunk_requester.pace.narrow and self._in_progress() > 0
+        return (
+            self._is_sidecar
+            and self.chunk_requester.inbound_limit.narrow
+            and self._in_progress() > 0
+        )
 
     def _hold_seconds(self) -> float:
         """Returns how many seconds a peer may hold a request for a chunk that it expects."""
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -155,7 +155,7 @@
         peers = distributor.chunk_requester.peers = CountingPeers(contents)
         distributor.chunk_requester.relays = frozenset(("b",))
         distributor.chunk_requester.holders = frozenset(("b",))
-        distributor.chunk_requester.pace.record(49_152, 2, 0.4, 2.0)
+        distributor.chunk_requester.inbound_limit.record(49_152, 2, 0.4, 2.0)
         distributor.begin_version()
         await asyncio.gather(*(distributor.fetch(plan, digest) for digest in contents))
         return peers
