--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -10,12 +10,12 @@
 import logbook
 
 from wasabidrum.observe import event_log
-from wasabidrum.observe.bounded_output import BoundedOutput
 from wasabidrum.observe.event import Event
 from wasabidrum.observe.event_log import EventLog, OutputHandler
+from wasabidrum.observe.nonblocking_output import NonBlockingOutput
 
 
-def make_log(output: BoundedOutput | None) -> EventLog:
+def make_log(output: NonBlockingOutput | None) -> EventLog:
     """Returns a log that writes every line to an output, or only counts."""
     logger = logbook.Logger("bench", level=logbook.INFO if output else logbook.CRITICAL)
     if output is not None:
@@ -70,7 +70,7 @@
     # The bound on routine lines is what a flood meets; here every line is to be written.
     event_log.ROUTINE_EVENTS = frozenset()
     with open("/dev/null", "wb", buffering=0) as sink:
-        written = microseconds_each(make_log(BoundedOutput(sink.fileno())), options.requests)
+        written = microseconds_each(make_log(NonBlockingOutput(sink.fileno())), options.requests)
     silent = microseconds_each(make_log(None), options.requests)
     print(f"lines of a request written: {written:.0f} us of processor time")
     print(f"the same counted and kept in memory, not written: {silent:.0f} us")
--- a/wasabidrum/observe/event_log.py
+++ b/wasabidrum/observe/event_log.py
@@ -6,11 +6,11 @@
 import logbook
 import msgspec
 
-from .bounded_output import BoundedOutput
 from .event import Event
 from .event_buffer import EventBuffer
 from .line_rate_limit import LineRateLimit
 from .metrics import Metrics
+from .nonblocking_output import NonBlockingOutput
 
 # Rate-limited events: successful requests, with one or two lines each, and messages of libraries,
 # whose number has no other bound.
@@ -20,7 +20,7 @@
 class OutputHandler(logbook.Handler):
     """A logbook handler that writes to a non-blocking output."""
 
-    def __init__(self, output: BoundedOutput) -> None:
+    def __init__(self, output: NonBlockingOutput) -> None:
         super().__init__(bubble=False)
         self._output = output
 
@@ -83,7 +83,7 @@
 
 def make_output_log(name: str) -> EventLog:
     """Returns a log that writes to standard output without blocking."""
-    output = BoundedOutput(sys.stdout.fileno())
+    output = NonBlockingOutput(sys.stdout.fileno())
     logger = logbook.Logger(name)
     logger.handlers.append(OutputHandler(output))
     log = EventLog(logger, name)
--- a/wasabidrum/observe/bounded_output.py
+++ b/wasabidrum/observe/nonblocking_output.py
@@ -7,7 +7,7 @@
 MAX_BACKLOG_BYTES = 1_048_576
 
 
-class BoundedOutput:
+class NonBlockingOutput:
     """Writes lines without blocking; buffers up to a limit, and drops and counts lines beyond it.
 
     With blocking writes, a reader of standard output that stops would stop the daemon: the pipe
--- a/wasabidrum/observe/bounded_output_test.py
+++ b/wasabidrum/observe/nonblocking_output_test.py
@@ -4,17 +4,17 @@
 import os
 import unittest
 
-from .bounded_output import MAX_BACKLOG_BYTES, BoundedOutput
+from .nonblocking_output import MAX_BACKLOG_BYTES, NonBlockingOutput
 
 LINE = "x" * 999
 
 
-class BoundedOutputTest(unittest.IsolatedAsyncioTestCase):
+class NonBlockingOutputTest(unittest.IsolatedAsyncioTestCase):
     """Output to a pipe that the test reads."""
 
     def setUp(self) -> None:
         self.reader, self.writer = os.pipe()
-        self.output = BoundedOutput(self.writer)
+        self.output = NonBlockingOutput(self.writer)
 
     def tearDown(self) -> None:
         for descriptor in (self.reader, self.writer):
