--- a/wasabidrum/observe/library_lines.py
+++ b/wasabidrum/observe/library_logging.py
@@ -33,6 +33,6 @@
         )
 
 
-def tell_library_lines(log: EventLog) -> None:
+def redirect_library_logging(log: EventLog) -> None:
     """Redirects the log messages of all libraries in this process to an event log."""
     logging.getLogger().addHandler(LibraryHandler(log))
--- a/wasabidrum/observe/library_lines_test.py
+++ b/wasabidrum/observe/library_logging_test.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .event_log import EventLog
-from .library_lines import LibraryHandler
+from .library_logging import LibraryHandler
 
 
 class LibraryLoggingTest(unittest.TestCase):
--- a/wasabidrum/scripts/daemon.py
+++ b/wasabidrum/scripts/daemon.py
@@ -12,7 +12,7 @@
 from ..core.finding import Finding
 from ..observe.event import Event
 from ..observe.event_log import EventLog, make_event_log, make_output_log
-from ..observe.library_lines import tell_library_lines
+from ..observe.library_logging import redirect_library_logging
 from ..wire import tls
 
 EXIT_BAD_SETTINGS = 2
@@ -64,7 +64,7 @@
 async def run_deployed(deployment: Deployment) -> None:
     """Runs the daemon that the platform asks for until SIGTERM, then leaves gracefully."""
     log = make_output_log(deployment.name)
-    tell_library_lines(log)
+    redirect_library_logging(log)
     if deployment.role == "entry":
         from ..gateway.daemon import make_gateway as make_daemon
     else:
