--- a/wasabidrum/observe/event_buffer.py
+++ b/wasabidrum/observe/event_buffer.py
@@ -45,9 +45,13 @@
         # candidates are found by a text search first.
         fragment = msgspec.json.encode(request_id).decode()[1:-1]
         events = (msgspec.json.decode(line) for line in list(self._lines) if fragment in line)
-        return [event for event in events if is_of(str(event.get("request", "")), request_id)]
+        return [
+            event
+            for event in events
+            if belongs_to_request(str(event.get("request", "")), request_id)
+        ]
 
 
-def is_of(name: str, request_id: str) -> bool:
+def belongs_to_request(name: str, request_id: str) -> bool:
     """Returns whether a name is the request's id or the id of one of its attempts."""
     return name == request_id or name.startswith(request_id + ".")
--- a/wasabidrum/scripts/commands/explain.py
+++ b/wasabidrum/scripts/commands/explain.py
@@ -21,7 +21,7 @@
 import sys
 import time
 
-from ...observe.event_memory import is_of
+from ...observe.event_memory import belongs_to_request
 from ...observe.events_handler import FoundEvents
 from ..command import EXIT_FOUND, EXIT_OK, EXIT_USAGE
 from ..fleet_answer import FleetAnswer
@@ -99,7 +99,9 @@
             event = json.loads(line[line.index("{") :])
         except ValueError:
             continue
-        if isinstance(event, dict) and is_of(str(event.get("request", "")), request_id):
+        if isinstance(event, dict) and belongs_to_request(
+            str(event.get("request", "")), request_id
+        ):
             events.append(event)
     return events
 
