--- a/tests/mutual_tls_test.py
+++ b/tests/mutual_tls_test.py
@@ -93,7 +93,7 @@
         fleet = self.authority.write(self.folder, "friend")
         self.assertEqual(await self.order(self.sidecar, make_client_context(fleet)), 200)
         for settings, admitted in ((stranger, False), (fleet, True)):
-            tls.put_in_force(TlsSettings(**settings))
+            tls.enable_tls(TlsSettings(**settings))
             reply = peer_client.fetch_configuration("127.0.0.1", self.sidecar.peer_port, "")
             if admitted:
                 self.assertEqual((await reply).revision, 1)
--- a/wasabidrum/scripts/daemon.py
+++ b/wasabidrum/scripts/daemon.py
@@ -112,7 +112,7 @@
     if settings is None or findings:
         return EXIT_BAD_SETTINGS
     try:
-        identity = tls.put_in_force(settings.tls)
+        identity = tls.enable_tls(settings.tls)
     except CodedError as error:
         print(Finding(options.settings, 0, 0, "TLS-INVALID", str(error)), file=sys.stderr)
         return EXIT_BAD_SETTINGS
--- a/wasabidrum/scripts/fleet_options.py
+++ b/wasabidrum/scripts/fleet_options.py
@@ -35,7 +35,7 @@
         if settings is None:
             return EXIT_USAGE
         try:
-            tls.put_in_force(settings.tls)
+            tls.enable_tls(settings.tls)
         except CodedError as error:
             print(error, file=sys.stderr)
             return EXIT_USAGE
--- a/wasabidrum/wire/tls.py
+++ b/wasabidrum/wire/tls.py
@@ -95,7 +95,7 @@
     return context
 
 
-def put_in_force(settings: TlsSettings | None) -> FleetTls | None:
+def enable_tls(settings: TlsSettings | None) -> FleetTls | None:
     """Enables TLS to the fleet for this task and the tasks that it starts.
 
     Args:
