--- a/wasabidrum/entry/model_attempt.py
+++ b/wasabidrum/entry/model_attempt.py
@@ -121,7 +121,7 @@
         """Ends the attempt; one that did not complete is cancelled to free its engine slot."""
         self.placement.end(code)
         if self._stream is not None:
-            self._stream.drop()
+            self._stream.discard()
         if code:
             asyncio.ensure_future(self._cancel())
 
--- a/wasabidrum/wire/http_client.py
+++ b/wasabidrum/wire/http_client.py
@@ -81,7 +81,7 @@
         """Ends the stream, complete or with an error."""
         self._queue.put_nowait(error or END_OF_STREAM)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Discards what has arrived and what may still arrive of an abandoned response."""
         # When a stalled link recovers, it delivers the rest of abandoned responses. If kept, they
         # would fill the memory of an entry whose callers have long disconnected.
