--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -89,7 +89,7 @@
         await self._loads.start()
         self._tasks.start("engine", self._controller.watch())
         self._tasks.start("listed", self._listed.run())
-        self._tasks.start("members", self._listed.keep_members(self._lacks_weights))
+        self._tasks.start("members", self._listed.refresh_members(self._lacks_weights))
         self._tasks.start("versions", self._controller.run())
         self._log.write(
             Event.DAEMON_STARTED, role="sidecar", port=first + CHUNK_PORT_OFFSET, host=host
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -217,7 +217,7 @@
                 failures += 1
                 await asyncio.sleep(min(MAX_PAUSE_SECONDS, PAUSE_SECONDS * failures))
 
-    async def keep_members(self, lacking: collections.abc.Callable[[], bool]) -> None:
+    async def refresh_members(self, lacking: collections.abc.Callable[[], bool]) -> None:
         """Reads the members periodically, forever, while this engine lacks its weights."""
         while True:
             await asyncio.sleep(MEMBERS_SECONDS)
