--- a/wasabidrum/observe/event_log.py
+++ b/wasabidrum/observe/event_log.py
@@ -1,4 +1,4 @@
-"""Writes numbered events as JSON lines through logbook, and remembers and counts them."""
+"""Writes events as JSON lines through logbook, keeps the latest in memory, and counts them."""
 
 import sys
 import time
@@ -6,20 +6,21 @@
 import logbook
 import msgspec
 
-from .bounded_output import BoundedOutput
 from .event import Event
-from .event_memory import EventMemory
-from .line_budget import LineBudget
+from .event_buffer import EventBuffer
+from .line_rate_limit import LineRateLimit
 from .metrics import Metrics
+from .nonblocking_output import NonBlockingOutput
 
-# What goes well, a line or two for each request, and what libraries say, which nobody bounds.
+# Rate-limited events: successful requests, with one or two lines each, and messages of libraries,
+# whose number has no other bound.
 ROUTINE_EVENTS = frozenset((Event.REQUEST_PLACED, Event.REQUEST_DONE, Event.LIBRARY_MESSAGE))
 
 
 class OutputHandler(logbook.Handler):
-    """Hands records to an output that never waits."""
+    """A logbook handler that writes to a non-blocking output."""
 
-    def __init__(self, output: BoundedOutput) -> None:
+    def __init__(self, output: NonBlockingOutput) -> None:
         super().__init__(bubble=False)
         self._output = output
 
@@ -29,20 +30,20 @@
 
 
 class EventLog:
-    """Logs events of one daemon, each with the daemon's name.
+    """Logs the events of one daemon, each with the daemon's name.
 
     Attributes:
-      memory: The latest events, for `wasabidrum explain`.
-      metrics: What was counted.
+      buffer: The latest events, for `wasabidrum explain`.
+      metrics: The metrics counted from events.
     """
 
-    __slots__ = ("_logger", "_name", "_budget", "memory", "metrics")
+    __slots__ = ("_logger", "_name", "_rate_limit", "buffer", "metrics")
 
     def __init__(self, logger: logbook.Logger, name: str) -> None:
         self._logger = logger
         self._name = name
-        self._budget = LineBudget()
-        self.memory = EventMemory()
+        self._rate_limit = LineRateLimit()
+        self.buffer = EventBuffer()
         self.metrics = Metrics()
 
     @property
@@ -51,25 +52,25 @@
         return self._name
 
     def write(self, event: Event, /, **facts: object) -> None:
-        """Writes one event with its facts; routine ones only up to a bound by the second."""
+        """Writes an event with its fields; routine events are limited in number per second."""
         now = time.time()
         self.metrics.count_event(event, facts)
-        dropped = self._budget.take_dropped(now)
+        dropped = self._rate_limit.take_dropped(now)
         if dropped:
             self._write(now, Event.LINES_LEFT_OUT, {"lines": dropped})
-        if event not in ROUTINE_EVENTS or self._budget.allow(now):
+        if event not in ROUTINE_EVENTS or self._rate_limit.allow(now):
             self._write(now, event, facts)
 
     def _write(self, now: float, event: Event, facts: dict[str, object]) -> None:
         fields = {"t": round(now, 3), "n": int(event), "event": event.name.lower()}
         fields |= {"daemon": self._name} | facts
         line = msgspec.json.encode(fields).decode()
-        self.memory.add(line)
+        self.buffer.add(line)
         self._logger.info(line)
 
 
 def make_event_log(name: str, log_file: str) -> EventLog:
-    """Returns a log that writes to a file, or to standard error where none is named."""
+    """Returns a log that writes to a file, or to standard error if the file name is empty."""
     handler: logbook.Handler
     if log_file:
         handler = logbook.FileHandler(log_file, format_string="{record.message}", bubble=False)
@@ -81,8 +82,8 @@
 
 
 def make_output_log(name: str) -> EventLog:
-    """Returns a log that writes to standard output and never waits for its reader."""
-    output = BoundedOutput(sys.stdout.fileno())
+    """Returns a log that writes to standard output without blocking."""
+    output = NonBlockingOutput(sys.stdout.fileno())
     logger = logbook.Logger(name)
     logger.handlers.append(OutputHandler(output))
     log = EventLog(logger, name)
--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -23,7 +23,7 @@
 from ..weights.distributor import Distributor
 from ..weights.engine_controller import EngineController
 from ..weights.listed_engines import ListedEngines
-from ..weights.origin_draw import OriginDraw
+from ..weights.origin_fetcher import OriginFetcher
 from ..weights.shared_readings import SharedReadings
 from ..wire import http_client
 from .load_service import LoadService
@@ -52,7 +52,7 @@
             distribution_settings(deployment, "sidecar"),
             self._listed,
             client,
-            OriginDraw([origin]),
+            OriginFetcher([origin]),
             self._requests_at_engine,
             log,
         )
@@ -75,7 +75,7 @@
         log.metrics.add_gauge(
             "weights_inbound_bytes_per_second",
             "How fast weights may come here beside requests, by what came through lately.",
-            lambda: self._distributor.asker.pace.rate,
+            lambda: self._distributor.chunk_requester.inbound_limit.rate,
         )
         self._loads.on_relays = self._listed.set_relays
         self._loads.on_entry = self._record_limits
@@ -89,7 +89,7 @@
         await self._loads.start()
         self._tasks.start("engine", self._controller.watch())
         self._tasks.start("listed", self._listed.run())
-        self._tasks.start("members", self._listed.keep_members(self._lacks_weights))
+        self._tasks.start("members", self._listed.refresh_members(self._lacks_weights))
         self._tasks.start("versions", self._controller.run())
         self._log.write(
             Event.DAEMON_STARTED, role="sidecar", port=first + CHUNK_PORT_OFFSET, host=host
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -1,4 +1,4 @@
-"""How sidecars wait for each other."""
+"""Tests of waiting between sidecars, narrow links, and chunks of unknown versions."""
 
 import asyncio
 import unittest
@@ -13,15 +13,15 @@
 from ..peers.member_view import MemberView
 from .chunk_state import ChunkState
 from .distributor import Distributor
-from .origin_draw import OriginDraw
-from .peer_chunk_client import HoldsUp, PeerAnswer
+from .origin_fetcher import OriginFetcher
+from .peer_chunk_client import PeerAnswer, SilenceCheck
 
 CONTENT = b"a chunk"
 DIGEST = digest_of(CONTENT)
 
 
 class FixedOrigin:
-    """Gives the chunk at once."""
+    """Returns the chunk at once."""
 
     async def fetch(self, digest: str) -> bytes:
         """See BlobSource."""
@@ -42,37 +42,37 @@
 
 
 class DirectPeers:
-    """Asks another distributor in this process."""
+    """Requests chunks from other distributors in this process."""
 
     def __init__(self, fleet: dict[str, Distributor]) -> None:
         self._fleet = fleet
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
         """See PeerChunkClient."""
         peer = next(d for name, d in self._fleet.items() if f"{name}:" in url)
         if not probe:
-            peer.record_asked()
+            peer.record_request()
         await peer.store.wait(digest, wait)
         content = peer.store.get(digest)
         return PeerAnswer(peer.state_of(digest), content)
 
 
 def make_instance(name: str) -> Instance:
-    """Returns a sidecar on a host of its own name."""
+    """Returns a sidecar whose host has the same name."""
     return Instance(name, InstanceRole.SIDECAR, "r", "r", name, 1, 2)
 
 
 def make_distributor(name: str, in_progress: int = 0) -> Distributor:
-    """Returns a distributor that has not begun, beside an engine with some requests."""
+    """Returns a distributor whose engine has some requests in progress."""
     settings = Settings(
         name=name,
         role="sidecar",
@@ -82,34 +82,34 @@
         platform=PlatformSettings(configuration="", instances="", origin=""),
     )
     log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
-    origin = OriginDraw([FixedOrigin()])
+    origin = OriginFetcher([FixedOrigin()])
     return Distributor(settings, FixedMembership(), None, origin, lambda: in_progress, log)
 
 
 class WaitTest(unittest.IsolatedAsyncioTestCase):
-    """Two sidecars, of which the plan has one draw the chunk."""
+    """Two sidecars, one of which the plan assigns to fetch the chunk from the origin."""
 
     async def test_one_that_restarts_and_one_that_waits_for_it_do_not_wait_for_each_other(
         self,
     ) -> None:
-        """A sidecar is killed while a version spreads, and starts again. Nobody asks it for a
-        second, so that it takes itself for unknown and waits for its peer; the peer waits for
-        what the plan has the first one draw. For three seconds neither does anything, and
-        everyone behind them misses one chunk."""
+        """A sidecar restarts during a distribution and receives no request for a second. It assumes
+        that peers don't know it and waits for its peer, which waits for the chunk that the plan
+        assigns to the first. For three seconds neither makes progress, and all behind them lack
+        one chunk."""
         plan = ChunkPlan("root", (DIGEST,), {"a": "r", "b": "r"})
         first, second = plan.regions["r"].order(0)
         fleet = {name: make_distributor(name) for name in ("a", "b")}
         for distributor in fleet.values():
-            distributor.asker.peers = DirectPeers(fleet)
+            distributor.chunk_requester.peers = DirectPeers(fleet)
             distributor.store.expected = {DIGEST}
-            distributor.begin()
+            distributor.begin_version()
         began = asyncio.get_running_loop().time()
 
         async def wait_then_fetch(name: str, seconds: float) -> bytes:
             await asyncio.sleep(seconds)
             return await fleet[name].fetch(plan, DIGEST)
 
-        # The one that the plan names begins when nobody has asked it for a second.
+        # The assigned sidecar starts after one second without a request.
         contents = await asyncio.gather(wait_then_fetch(first, 1.05), wait_then_fetch(second, 1.2))
         self.assertEqual(contents, [CONTENT, CONTENT])
         self.assertLess(asyncio.get_running_loop().time() - began, 3.0)
@@ -117,7 +117,7 @@
 
 
 class CountingPeers:
-    """Gives chunks after a while, and counts how many are under way."""
+    """Returns chunks after a short delay and counts concurrent requests."""
 
     def __init__(self, contents: dict[str, bytes]) -> None:
         self.at_once = 0
@@ -125,14 +125,14 @@
         self._contents = contents
         self._open = 0
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
         """See PeerChunkClient."""
@@ -145,44 +145,44 @@
 
 
 class NarrowLinkTest(unittest.IsolatedAsyncioTestCase):
-    """A sidecar whose link has turned out narrow."""
+    """A sidecar whose link has been measured as narrow."""
 
     async def fetch_all(self, in_progress: int) -> CountingPeers:
-        """Fetches twelve chunks at once beside an engine with some requests."""
+        """Fetches twelve chunks at once while the engine has some requests in progress."""
         contents = {digest_of(bytes([n])): bytes([n]) for n in range(12)}
         plan = ChunkPlan("root", tuple(contents), {"a": "r", "b": "r"})
         distributor = make_distributor("a", in_progress)
-        peers = distributor.asker.peers = CountingPeers(contents)
-        distributor.asker.relays = frozenset(("b",))
-        distributor.asker.holders = frozenset(("b",))
-        distributor.asker.pace.record(49_152, 2, 0.4, 2.0)
-        distributor.begin()
+        peers = distributor.chunk_requester.peers = CountingPeers(contents)
+        distributor.chunk_requester.relays = frozenset(("b",))
+        distributor.chunk_requester.holders = frozenset(("b",))
+        distributor.chunk_requester.inbound_limit.record(49_152, 2, 0.4, 2.0)
+        distributor.begin_version()
         await asyncio.gather(*(distributor.fetch(plan, digest) for digest in contents))
         return peers
 
     async def test_weights_leave_a_narrow_link_to_requests(self) -> None:
-        """Guards against requests that lie behind chunks until their callers have left."""
+        """Guards against requests that queue behind chunks until their callers give up."""
         peers = await self.fetch_all(in_progress=3)
         self.assertEqual(peers.at_once, 1)
         self.assertLess(min(peers.rates), 100_000.0)
 
     async def test_weights_take_all_of_a_link_that_no_request_needs(self) -> None:
-        """Guards against an engine without weights that gets them slowly for nobody's good."""
+        """Guards against throttled weights on a link that carries no requests."""
         peers = await self.fetch_all(in_progress=0)
         self.assertEqual(peers.at_once, 12)
         self.assertGreater(min(peers.rates), 1_000_000.0)
 
 
-class UnknownChunkTest(unittest.IsolatedAsyncioTestCase):
-    """An entry that is asked for a chunk of a version that it has not heard of."""
+class UnknownVersionTest(unittest.IsolatedAsyncioTestCase):
+    """An entry receives a request for a chunk of a version that it does not know yet."""
 
     async def test_whoever_asks_is_kept_waiting_and_does_not_pass_the_entry_over(self) -> None:
-        """Told that the entry lacks the chunk, sidecars ask elsewhere for four seconds, and draw
-        from the origin what the entry is about to draw."""
+        """If the entry answered that it lacks the chunk, sidecars would skip it for four seconds
+        and fetch from the origin what the entry is about to fetch."""
         relay = make_distributor("a")
-        relay.store.undecided = False
+        relay.store.chunks_unknown = False
         self.assertIs(relay.state_of(DIGEST), ChunkState.LACKING)
-        relay.hears_late = True
+        relay.learns_versions_late = True
         self.assertIs(relay.state_of(DIGEST), ChunkState.COMING)
-        relay.store.want({DIGEST})
+        relay.store.set_wanted({DIGEST})
         self.assertIs(relay.state_of(DIGEST), ChunkState.LACKING)
--- a/wasabidrum/weights/engine_extras.py
+++ b/wasabidrum/weights/engine_configurator.py
@@ -1,18 +1,18 @@
-"""Gives an engine what goes with a version: its adapters and its role."""
+"""Sets an engine's role and loads its adapters."""
 
 from ..decisions.chunk_plan import ChunkPlan
 from ..endpoints.model_engine import ModelEngine
 from ..observe.event import Event
 from ..observe.event_log import EventLog
 from ..peers.configuration_follower import ConfigurationFollower
-from .clock_guard import ClockGuard
 from .distributor import Distributor
+from .suspension_guard import SuspensionGuard
 from .target import Target, region_of_endpoints
 from .version_download import VersionDownload, fetch_manifest
 
 
-class EngineExtras:
-    """Knows which adapters and which role this process has given its engine."""
+class EngineConfigurator:
+    """Tracks the adapters and the role that this process has set on its engine."""
 
     __slots__ = ("_follower", "_engine", "_distributor", "_guard", "_log", "_adapters", "_role")
 
@@ -21,7 +21,7 @@
         follower: ConfigurationFollower,
         engine: ModelEngine,
         distributor: Distributor,
-        guard: ClockGuard,
+        guard: SuspensionGuard,
         log: EventLog,
     ) -> None:
         self._follower = follower
@@ -32,13 +32,13 @@
         self._adapters: dict[str, str] = {}
         self._role = ""
 
-    def forget(self) -> None:
-        """Takes that the engine has started anew and has nothing."""
+    def clear(self) -> None:
+        """Clears the tracked state after the engine has restarted without adapters and role."""
         self._adapters = {}
         self._role = ""
 
     async def order(self, target: Target) -> None:
-        """Gives the engine its role and the adapters that it lacks."""
+        """Sets the engine's role and loads the adapters that it lacks."""
         if self._role != target.role:
             await self._guard.confirm()
             await self._engine.set_role(target.role, self._follower.revision)
@@ -46,9 +46,9 @@
             self._log.write(Event.ROLE_ORDERED, role=target.role)
         for name, root in target.adapters:
             if self._adapters.get(name) != root:
-                await self._bring_adapter(target, name, root)
+                await self._load_adapter(target, name, root)
 
-    async def _bring_adapter(self, target: Target, name: str, root: str) -> None:
+    async def _load_adapter(self, target: Target, name: str, root: str) -> None:
         current = self._follower.current
         region_of = region_of_endpoints(current, target.model)
         origin_region = current.fleet.links.origin_region
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -1,4 +1,4 @@
-"""Asks a peer for a chunk, and notices when the answer no longer moves."""
+"""HTTP client for chunks at peers; detects stalled and silent peers."""
 
 import asyncio
 import collections.abc
@@ -15,19 +15,19 @@
 HEAD_GRACE_SECONDS = 2.0
 STALL_SECONDS = 3.0
 SLOWEST_FACTOR = 4.0
-LONGEST_REQUEST_SECONDS = 900.0
+MAX_REQUEST_SECONDS = 900.0
 
 
-HoldsUp = collections.abc.Callable[[], collections.abc.Awaitable[bool]]
+SilenceCheck = collections.abc.Callable[[], collections.abc.Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerAnswer:
-    """What a peer answered; the content is verified, and None unless the state is HELD.
+    """A peer's answer; the content is verified, and None unless the state is HELD.
 
     Attributes:
-      sending_seconds: In which the peer sent the content.
-      late_seconds: How much later the content was whole than the peer had sent it.
+      sending_seconds: The time that the peer announced for sending the content.
+      late_seconds: How much later than announced the content was complete.
     """
 
     state: ChunkState
@@ -37,9 +37,9 @@
 
 
 class ChunkDownload:
-    """One request for a chunk while it runs."""
+    """The progress of one chunk request."""
 
-    __slots__ = ("_parts", "_loop", "_moves_until", "_ends_at", "_status", "_head", "given_up")
+    __slots__ = ("_parts", "_loop", "_stalls_at", "_ends_at", "_status", "_head", "abandoned")
     __slots__ += ("_due_at", "_idle_from", "sending_seconds")
 
     def __init__(self, wait: float) -> None:
@@ -47,41 +47,41 @@
         self._parts: list[bytes] = []
         self._status = 0
         self._head = httputil.HTTPHeaders()
-        self._moves_until = self._loop.time() + wait + HEAD_GRACE_SECONDS
-        self._ends_at = self._moves_until + LONGEST_REQUEST_SECONDS
-        self.given_up = False
-        # Before the head comes, a look of half a second is due after the first half.
+        self._stalls_at = self._loop.time() + wait + HEAD_GRACE_SECONDS
+        self._ends_at = self._stalls_at + MAX_REQUEST_SECONDS
+        self.abandoned = False
+        # Before the head arrives, the download counts as idle from half a second on.
         self._idle_from = self._loop.time() + ANSWER_MARGIN_SECONDS - PROBE_INTERVAL_SECONDS
         self._due_at = self._loop.time()
         self.sending_seconds = 0.0
 
     @property
     def late_seconds(self) -> float:
-        """How much later it is than the peer said that all would have left it."""
+        """The seconds since the time at which the peer announced to be done sending."""
         return max(0.0, self._loop.time() - self._due_at)
 
     @property
     def head(self) -> httputil.HTTPHeaders:
-        """The headers so far."""
+        """The response headers received so far."""
         return self._head
 
     @property
     def idle(self) -> bool:
-        """Whether nothing has come for a while, be it that the peer's turn is still to come."""
+        """Whether nothing has arrived for a while, even if sending has not been due yet."""
         return self._loop.time() > self._idle_from + PROBE_INTERVAL_SECONDS
 
     @property
     def content(self) -> bytes:
-        """The bytes so far."""
+        """The body received so far."""
         return b"".join(self._parts)
 
     @property
-    def patience(self) -> float:
-        """The seconds after which this download counts as stalled unless something comes."""
-        return min(self._moves_until, self._ends_at) - self._loop.time()
+    def seconds_until_stall(self) -> float:
+        """The seconds after which this download counts as stalled if nothing arrives."""
+        return min(self._stalls_at, self._ends_at) - self._loop.time()
 
     def take_header_line(self, line: str) -> None:
-        """Takes one line of the answer's head."""
+        """Processes one line of the response head."""
         if line.startswith("HTTP/"):
             self._head = httputil.HTTPHeaders()
         elif line.strip():
@@ -93,26 +93,26 @@
             self._due_at = now + max(0.0, starts_in) + seconds
             self.sending_seconds = seconds
             self._idle_from = now
-            self._moves_until = now + max(0.0, starts_in) + STALL_SECONDS
-            self._ends_at = self._moves_until + SLOWEST_FACTOR * seconds + STALL_SECONDS
+            self._stalls_at = now + max(0.0, starts_in) + STALL_SECONDS
+            self._ends_at = self._stalls_at + SLOWEST_FACTOR * seconds + STALL_SECONDS
 
-    def forgive(self, seconds: float) -> None:
-        """Takes that this process stood still for a while."""
+    def extend_due_time(self, seconds: float) -> None:
+        """Extends the expected end by the time for which this process was blocked."""
         self._due_at += seconds
 
-    def take_part(self, part: bytes) -> None:
-        """Takes some bytes of the body."""
-        if self.given_up:
-            # The library closes a connection whose input it is told to refuse; without
-            # this a transfer that nobody waits for would go on and take up the link.
-            raise httputil.HTTPInputError("given up")
+    def take_body_part(self, part: bytes) -> None:
+        """Processes some bytes of the body."""
+        if self.abandoned:
+            # Tornado closes a connection whose input callback raises this error. Otherwise an
+            # abandoned transfer would continue and occupy the link.
+            raise httputil.HTTPInputError("download abandoned")
         self._parts.append(part)
         self._idle_from = self._loop.time()
-        self._moves_until = max(self._moves_until, self._loop.time() + STALL_SECONDS)
+        self._stalls_at = max(self._stalls_at, self._loop.time() + STALL_SECONDS)
 
 
 class PeerChunkClient:
-    """Asks peers for chunks over HTTP."""
+    """Requests chunks from peers over HTTP."""
 
     __slots__ = ("_client", "_name", "_region")
 
@@ -121,23 +121,25 @@
         self._name = name
         self._region = region
 
-    async def ask(
+    async def request_chunk(
         self,
         url: str,
         digest: str,
         wait: float,
         revision: int,
         probe: bool = False,
-        holds_up: HoldsUp | None = None,
+        is_silent: SilenceCheck | None = None,
         rate: float = 0.0,
     ) -> PeerAnswer:
-        """Asks a peer, who answers once it holds the chunk or the wait is over.
+        """Requests a chunk; the peer answers once it holds the chunk or the wait is over.
 
-        A probe is answered at once, and without the content.
+        A probe is answered at once, without the content.
 
         Args:
-          rate: The most bytes a second that the peer is to send; zero leaves it to the peer.
-          holds_up: Looks whether the peer is silent, while nothing comes from it.
+          wait: Seconds for which the peer may hold the request.
+          revision: The configuration revision of this process.
+          is_silent: Called while nothing arrives; returns whether to abandon the request.
+          rate: The highest rate in bytes per second to send at; zero leaves it to the peer.
 
         Raises:
           CodedError: "peer_unreachable", "peer_stalled", "peer_held_up" or "chunk_corrupt".
@@ -147,44 +149,46 @@
             f"{url}/internal/chunks/{digest}?wait={wait}",
             method="HEAD" if probe else "GET",
             headers={
-                headers.ASKER: self._name,
-                headers.ASKER_REGION: self._region,
+                headers.REQUESTER: self._name,
+                headers.REQUESTER_REGION: self._region,
                 headers.REVISION: str(revision),
-                headers.ASKER_RATE: f"{rate:.0f}",
+                headers.REQUESTER_RATE: f"{rate:.0f}",
             },
             header_callback=download.take_header_line,
-            streaming_callback=download.take_part,
-            request_timeout=LONGEST_REQUEST_SECONDS,
+            streaming_callback=download.take_body_part,
+            request_timeout=MAX_REQUEST_SECONDS,
         )
-        answered = asyncio.ensure_future(http_client.fetch(self._client, request, url))
+        fetched = asyncio.ensure_future(http_client.fetch(self._client, request, url))
         try:
-            while not answered.done():
-                if download.patience <= 0:
+            while not fetched.done():
+                if download.seconds_until_stall <= 0:
                     raise CodedError("peer_stalled", f"{url} stopped sending", 503)
-                timeout = min(max(0.01, download.patience), ANSWER_MARGIN_SECONDS)
+                timeout = min(max(0.01, download.seconds_until_stall), ANSWER_MARGIN_SECONDS)
                 began = asyncio.get_running_loop().time()
-                await asyncio.wait((answered,), timeout=timeout)
+                await asyncio.wait((fetched,), timeout=timeout)
                 waited = asyncio.get_running_loop().time() - began
-                # Where this process stood still itself, the chunk is not late for its link.
-                download.forgive(max(0.0, waited - timeout))
-                if holds_up is None or answered.done() or not download.idle:
+                # Time for which this process itself was blocked does not make the chunk late.
+                download.extend_due_time(max(0.0, waited - timeout))
+                if is_silent is None or fetched.done() or not download.idle:
                     continue
-                if await holds_up() and download.idle and not answered.done():
+                if await is_silent() and download.idle and not fetched.done():
                     raise CodedError("peer_held_up", f"{url} is silent", 503)
         finally:
-            download.given_up = True
-            answered.cancel()
+            download.abandoned = True
+            fetched.cancel()
         if probe:
             return PeerAnswer(self._read_state(download))
-        return self._judge(answered.result(), download, digest)
+        return self._read_answer(fetched.result(), download, digest)
 
-    def _judge(
+    def _read_answer(
         self, response: httpclient.HTTPResponse, download: ChunkDownload, digest: str
     ) -> PeerAnswer:
         if response.code == 200:
             content = download.content
             if digest_of(content) != digest:
-                raise CodedError("chunk_corrupt", f"{digest} came with other bytes", 503)
+                raise CodedError(
+                    "chunk_corrupt", f"{digest} does not match the content received", 503
+                )
             return PeerAnswer(
                 ChunkState.HELD, content, download.sending_seconds, download.late_seconds
             )
--- a/wasabidrum/weights/weights_side.py
+++ b/wasabidrum/weights/sidecar_weights.py
@@ -1,4 +1,4 @@
-"""The part of a sidecar that has to do with weights, put together."""
+"""Builds and wires the weight distribution components of one sidecar."""
 
 import collections.abc
 import dataclasses
@@ -16,41 +16,41 @@
 from ..platform.configuration_service import ConfigurationService
 from ..platform.http_blob_source import make_blob_source
 from .chunk_handler import ChunkHandler
-from .clock_guard import ClockGuard
+from .command_lock import CommandLock
 from .distributor import Distributor
-from .orderer_lock import OrdererLock
-from .origin_draw import OriginDraw
+from .origin_fetcher import OriginFetcher
 from .rollout_gate import RolloutGate
 from .status_client import StatusClient
+from .suspension_guard import SuspensionGuard
 from .version_manager import VersionManager
 
 
 class WeightsHandler(web.RequestHandler):
-    """GET /internal/weights: what an operator needs to see why a rollout does not move."""
+    """GET /internal/weights: diagnostics for operators when a rollout makes no progress."""
 
-    def initialize(self, weights: "WeightsSide") -> None:
-        """Takes the weights' part from the route."""
+    def initialize(self, weights: "SidecarWeights") -> None:
+        """Stores the components passed by the route."""
         self.weights = weights
 
     def get(self) -> None:
-        """Answers with what was moved, what is held, and what is waited for."""
+        """Responds with transfer counts, chunks held, and chunks still expected."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.weights.describe()))
 
 
 @dataclasses.dataclass(slots=True)
-class WeightsSide:
-    """Store, distribution, rollout and orders of one sidecar."""
+class SidecarWeights:
+    """Distribution, rollout and engine control of one sidecar."""
 
     distributor: Distributor
     gate: RolloutGate
-    guard: ClockGuard
-    lock: OrdererLock
+    guard: SuspensionGuard
+    lock: CommandLock
     statuses: StatusClient
     manager: VersionManager
 
     def routes(self) -> list[tuple]:
-        """Returns the routes that the sidecar's server adds."""
+        """Returns the routes to add to the sidecar's HTTP server."""
         return [
             (r"/internal/chunks/([0-9a-f]+)", ChunkHandler, {"distributor": self.distributor}),
             (r"/internal/weights", WeightsHandler, {"weights": self}),
@@ -62,7 +62,7 @@
         tasks.start("versions", self.manager.run())
 
     def complete_status(self, status: Status) -> Status:
-        """Returns a status with what it says of weights filled in."""
+        """Returns a copy of a status with the fields about weights filled in."""
         state = self.gate.state
         return msgspec.structs.replace(
             status,
@@ -78,20 +78,20 @@
         )
 
     def describe(self) -> dict[str, object]:
-        """Returns the facts for operators."""
+        """Returns the diagnostics served at /internal/weights."""
         distributor = self.distributor
         return dataclasses.asdict(distributor.counts) | {
             "chunks_in_memory": distributor.store.count,
             "bytes_in_memory": distributor.store.size,
             "expected": len(distributor.store.expected),
-            "drawing": sorted(distributor.store.drawing),
-            "passed_over": distributor.avoided_names(),
+            "drawing": sorted(distributor.store.fetching_from_origin),
+            "passed_over": distributor.skipped_peers(),
             "orders": self.lock.held,
             "statuses_asked": self.statuses.asked,
         }
 
 
-def make_weights_side(
+def make_sidecar_weights(
     settings: Settings,
     client: httpclient.AsyncHTTPClient,
     engine: ModelEngine,
@@ -101,14 +101,14 @@
     membership: Membership,
     in_progress: collections.abc.Callable[[], int],
     log: EventLog,
-) -> WeightsSide:
-    """Returns the weights' part of a sidecar that has not started."""
+) -> SidecarWeights:
+    """Returns the components of one sidecar; their background tasks are not started yet."""
     urls = [url for url in (settings.platform.store, settings.platform.origin) if url]
-    origin = OriginDraw([make_blob_source(client, url) for url in urls])
+    origin = OriginFetcher([make_blob_source(client, url) for url in urls])
     distributor = Distributor(settings, membership, client, origin, in_progress, log)
     statuses = StatusClient(client, membership)
     gate = RolloutGate(settings.name, statuses, log)
-    guard = ClockGuard(configuration, ask_peers, follower, log)
-    lock = OrdererLock(settings.endpoint.url, log)
+    guard = SuspensionGuard(configuration, ask_peers, follower, log)
+    lock = CommandLock(settings.endpoint.url, log)
     manager = VersionManager(settings.name, follower, engine, distributor, gate, guard, lock, log)
-    return WeightsSide(distributor, gate, guard, lock, statuses, manager)
+    return SidecarWeights(distributor, gate, guard, lock, statuses, manager)
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -1,4 +1,4 @@
-"""Brings all chunks of one version that an engine lacks, each as soon as it can be had."""
+"""Downloads the chunks of a version that an engine lacks, each as soon as it is available."""
 
 import asyncio
 import collections.abc
@@ -8,15 +8,17 @@
 from ..decisions.inbound_rate_limit import ON_TIME_SECONDS
 from .distributor import Distributor
 
-# Chunks that this sidecar draws from the origin, at once: enough that the next is under
-# way while one ends, few enough that each comes soon and is passed on meanwhile.
-DRAWS_AT_ONCE = 2
-# How long draws go before all else; with an origin that is gone the rest must not wait longer.
-DRAWS_FIRST_SECONDS = 2.0
-# Asked of peers meanwhile, so that they know of this sidecar, which they wait for.
-ASKS_WHILE_DRAWING = 2
-# Chunks that it brings in from another region, at once. Its senders there are several.
-IMPORTS_AT_ONCE = 4
+# Concurrent fetches from the origin: enough that the next is in flight while one completes, few
+# enough that each chunk arrives soon and can be served to peers meanwhile.
+MAX_ORIGIN_FETCHES = 2
+# How long origin fetches take precedence over other transfers. If the origin is unreachable, the
+# other transfers must not wait longer than this.
+ORIGIN_FIRST_SECONDS = 2.0
+# Concurrent requests to peers during that time. Peers wait for this sidecar's chunks and learn
+# from these requests that it is up.
+PEER_REQUESTS_AT_START = 2
+# Concurrent fetches from another region, where several peers send to this sidecar.
+MAX_IMPORTS = 4
 
 Deliver = collections.abc.Callable[[int, bytes], collections.abc.Awaitable[None]]
 
@@ -24,16 +26,16 @@
 async def fetch_manifest(
     distributor: Distributor, root: str, region_of: dict[str, str], origin_region: str
 ) -> Manifest:
-    """Returns a version's verified manifest, which travels as a chunk does."""
+    """Returns a version's verified manifest, which is distributed as a chunk itself."""
     plan = ChunkPlan(root, (root,), region_of, origin_region)
     return decode_manifest(await distributor.fetch(plan, root), root)
 
 
 class VersionDownload:
-    """One version on its way to one engine. Cancelling run ends every request for it."""
+    """The download of one version for one engine. Cancelling `run` cancels all its requests."""
 
     __slots__ = ("_distributor", "_plan", "_manifest", "_deliver", "_places")
-    __slots__ += ("_group", "_asking", "_askers", "_draws_first")
+    __slots__ += ("_group", "_peer_queue", "_peer_workers", "_origin_first")
 
     def __init__(
         self,
@@ -42,13 +44,15 @@
         manifest: Manifest,
         missing: list[int],
         deliver: Deliver,
-        draws_first: bool = True,
+        origin_first: bool = True,
     ) -> None:
-        """Takes what is missing, and what to call with each chunk.
+        """Creates a download.
 
         Args:
-          draws_first: What is drawn from the origin goes before all else for a while, as where
-            this instance's link is too narrow for both.
+          missing: Indexes of the chunks to download.
+          deliver: Called with the index and the content of each chunk.
+          origin_first: Gives origin fetches precedence for a while, for an instance whose link
+            is too narrow for both.
         """
         self._distributor = distributor
         self._plan = plan
@@ -56,9 +60,9 @@
         self._deliver = deliver
         self._places: dict[str, list[int]] = {}
         self._group: asyncio.TaskGroup | None = None
-        self._asking: collections.abc.Iterator[str] | None = None
-        self._askers = 0
-        self._draws_first = draws_first
+        self._peer_queue: collections.abc.Iterator[str] | None = None
+        self._peer_workers = 0
+        self._origin_first = origin_first
         for index in missing:
             self._places.setdefault(manifest.chunks[index], []).append(index)
 
@@ -66,63 +70,65 @@
         """Returns once every missing chunk has been delivered."""
         store = self._distributor.store
         store.expected = set(self._places)
-        store.undecided = False
+        store.chunks_unknown = False
         store.wake_all()
-        draws: list[str] = []
-        imports: list[str] = []
-        asks: list[str] = []
+        from_origin: list[str] = []
+        from_regions: list[str] = []
+        from_peers: list[str] = []
         for digest in self._places:
             index = self._plan.index_of(digest)
             if not self._distributor.is_carrier(self._plan, index):
-                asks.append(digest)
+                from_peers.append(digest)
             elif self._distributor.is_first_region(self._plan, index):
-                draws.append(digest)
+                from_origin.append(digest)
             else:
-                imports.append(digest)
-        # Three lanes: were there one, chunks that others wait for would stand in line behind
-        # chunks that this sidecar itself waits for, and the whole fleet would wait in turn.
+                from_regions.append(digest)
+        # Three separate queues: in a single one, chunks that peers wait for would queue behind
+        # chunks that this sidecar waits for, and the delay would spread through the fleet.
         async with asyncio.TaskGroup() as group:
-            drawing = self._start_lane(group, draws, DRAWS_AT_ONCE)
-            asking = iter(asks)
-            self._start(group, asking, min(ASKS_WHILE_DRAWING, len(asks)))
-            if drawing and self._draws_first:
-                # What it draws nobody else has. Were the link shared with what it asks of
-                # others, one slow instance would keep its part from the whole fleet for
-                # seconds, and for as long as the origin is away if that fails meanwhile.
-                await asyncio.wait(drawing, timeout=DRAWS_FIRST_SECONDS)
-            self._start_lane(group, imports, IMPORTS_AT_ONCE)
+            origin_workers = self._start_queue(group, from_origin, MAX_ORIGIN_FETCHES)
+            peer_queue = iter(from_peers)
+            self._start_workers(group, peer_queue, min(PEER_REQUESTS_AT_START, len(from_peers)))
+            if origin_workers and self._origin_first:
+                # No other sidecar fetches these chunks from the origin. If they shared the link
+                # with requests to peers, one slow instance would delay the whole fleet by
+                # seconds, or for the length of an outage if the origin fails meanwhile.
+                await asyncio.wait(origin_workers, timeout=ORIGIN_FIRST_SECONDS)
+            self._start_queue(group, from_regions, MAX_IMPORTS)
             self._group = group
-            self._asking = asking
-            self._askers = ASKS_WHILE_DRAWING
-            self._widen()
+            self._peer_queue = peer_queue
+            self._peer_workers = PEER_REQUESTS_AT_START
+            self._add_peer_worker()
 
-    def _start_lane(
-        self, group: asyncio.TaskGroup, lane: list[str], workers: int
+    def _start_queue(
+        self, group: asyncio.TaskGroup, queue: list[str], workers: int
     ) -> list[asyncio.Task]:
-        return self._start(group, iter(lane), min(workers, len(lane)))
+        return self._start_workers(group, iter(queue), min(workers, len(queue)))
 
-    def _start(
+    def _start_workers(
         self, group: asyncio.TaskGroup, work: collections.abc.Iterator[str], workers: int
     ) -> list[asyncio.Task]:
         return [group.create_task(self._work(work)) for _ in range(workers)]
 
-    def _widen(self) -> None:
-        """Asks for one chunk more at once, while the last came as soon as it was sent.
+    def _add_peer_worker(self) -> None:
+        """Raises the number of concurrent requests by one if the last chunk arrived on time.
 
         An instance's link may be narrower than its settings say. A dozen chunks sent to it at
-        once then stand before its engine's requests for seconds: callers have left by the time
-        that their requests arrive.
+        once then delay its engine's requests by seconds, and callers give up before their
+        requests arrive.
         """
-        if self._asking is None or self._askers >= self._distributor.asks_at_once(self._plan):
+        if self._peer_queue is None or self._peer_workers >= self._distributor.max_requests(
+            self._plan
+        ):
             return
         if self._distributor.late_seconds <= ON_TIME_SECONDS:
-            self._askers += 1
-            self._start(self._group, self._asking, 1)
+            self._peer_workers += 1
+            self._start_workers(self._group, self._peer_queue, 1)
 
     async def _work(self, digests: collections.abc.Iterator[str]) -> None:
         for digest in digests:
             content = await self._distributor.fetch(self._plan, digest)
-            self._widen()
+            self._add_peer_worker()
             for index in self._places[digest]:
                 await self._deliver(index, content)
             self._distributor.store.expected.discard(digest)
--- a/wasabidrum/wire/headers.py
+++ b/wasabidrum/wire/headers.py
@@ -8,7 +8,7 @@
 MODEL_VERSION = "X-Model-Version"
 OUTCOME = "X-Outcome"
 
-# Headers between the system's own processes.
+# Headers between the fleet's processes.
 ATTEMPT_ID = "X-Wd-Attempt"
 CALL_KEY = "X-Wd-Call-Key"
 WORKSPACE = "X-Wd-Workspace"
@@ -23,10 +23,10 @@
 CALL_DIGEST = "X-Wd-Call-Digest"
 ANSWER_DIGEST = "X-Wd-Answer-Digest"
 
-# Headers of chunks between sidecars.
-ASKER = "X-Wd-Asker"
-ASKER_REGION = "X-Wd-Asker-Region"
-ASKER_RATE = "X-Wd-Asker-Rate"
+# Headers of chunk requests between the fleet's processes.
+REQUESTER = "X-Wd-Asker"
+REQUESTER_REGION = "X-Wd-Asker-Region"
+REQUESTER_RATE = "X-Wd-Asker-Rate"
 CHUNK_STATE = "X-Wd-Chunk"
 CHUNK_STARTS_IN = "X-Wd-Starts-In"
 CHUNK_SECONDS = "X-Wd-Seconds"
