--- a/wasabidrum/peers/__init__.py
+++ b/wasabidrum/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's own processes say to each other."""
+"""The peer protocol: membership, gossip and distribution of configuration among daemons."""
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration revision in force at this process, and tells who waits for it."""
+"""Keeps the configuration revision in force at this process and notifies waiters of changes."""
 
 import asyncio
 import collections.abc
@@ -15,26 +15,27 @@
 from ..platform.configuration_service import ConfigurationService
 
 WATCH_SECONDS = 20.0
-PAUSE_AFTER_FAILURE_SECONDS = 1.0
+RETRY_SECONDS = 1.0
 COMPRESSION_LEVEL = 1
-LARGEST_RENDERED_INLINE_BYTES = 65_536
+MAX_INLINE_RENDER_BYTES = 65_536
 
 
 class ConfigurationFollower:
     """Holds the highest valid revision that this process has seen.
 
-    The revision in force is one immutable object that is replaced in one step, so that a
-    request that holds it never sees half of a change.
+    The revision in force is one immutable object that is replaced atomically, so that a request
+    that holds it never sees a partial change.
 
     Attributes:
-      book: The order of revisions here, with what was refused.
-      on_change: Called once a revision is in force or was refused.
-      on_answer: Called with when the service was asked, by the clock that counts while the
-        instance is suspended, where it knew nothing newer.
+      book: The known revisions: the one in force, claimed ones and the refused one.
+      on_change: Called when a revision is put in force or refused, or an alarm is raised.
+      on_confirmed: Called when the service had no newer revision or its revision was put in
+        force, with the time at which the service was asked. The time is of the clock that keeps
+        counting while the instance is suspended.
     """
 
     __slots__ = ("_service", "_site", "_log", "_current", "_changed", "_compressed", "_rendering")
-    __slots__ += ("_old_offered", "_alarm", "book", "on_change", "on_answer")
+    __slots__ += ("_last_old_revision", "_reported_alarm", "book", "on_change", "on_confirmed")
 
     def __init__(self, service: ConfigurationService, site: str, log: EventLog) -> None:
         self._service = service
@@ -44,11 +45,11 @@
         self._changed = asyncio.Condition()
         self._compressed = b""
         self._rendering = asyncio.Lock()
-        self._old_offered = 0
-        self._alarm = ""
+        self._last_old_revision = 0
+        self._reported_alarm = ""
         self.book = RevisionTracker()
         self.on_change: collections.abc.Callable[[], None] = ignore_change
-        self.on_answer: collections.abc.Callable[[float], None] = ignore_answer
+        self.on_confirmed: collections.abc.Callable[[float], None] = ignore_confirmation
 
     @property
     def current(self) -> FleetRevision | None:
@@ -62,7 +63,7 @@
 
     @property
     def compressed(self) -> bytes:
-        """The value in force, as peers fetch it."""
+        """The compressed value in force, as peers fetch it."""
         return self._compressed
 
     @property
@@ -72,43 +73,47 @@
 
     @property
     def refused_reason(self) -> str:
-        """Every fault of that revision."""
+        """All faults of the refused revision, or empty."""
         return self.book.refusal.reason if self.book.refusal else ""
 
     async def run(self, watch_seconds: float = WATCH_SECONDS) -> None:
-        """Watches the service for ever."""
+        """Watches the service until cancelled."""
         while True:
             asked_at = awake_seconds()
             try:
                 value = await self._service.watch(self.revision, watch_seconds)
             except CodedError as error:
                 self._log.write(Event.CONFIGURATION_UNREACHABLE, reason=str(error))
-                await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             if value is None or await self.offer(value):
-                self.on_answer(asked_at)
+                self.on_confirmed(asked_at)
             else:
-                await asyncio.sleep(PAUSE_AFTER_FAILURE_SECONDS)
+                await asyncio.sleep(RETRY_SECONDS)
 
-    def judge(self, revision: int, digest: str) -> ClaimVerdict:
-        """Takes somebody's word for a revision; says whether its value is wanted."""
+    def assess_claim(self, revision: int, digest: str) -> ClaimVerdict:
+        """Records a claim that a revision exists; returns whether its value is wanted."""
         claim = self.book.assess_claim(revision, digest)
-        self._tell_alarm()
+        self._report_alarm()
         return claim
 
-    def take_alarm(self, revision: int, alarm: str) -> None:
-        """Takes an alarm that a peer with a revision in force raised."""
+    def adopt_alarm(self, revision: int, alarm: str) -> None:
+        """Adopts an alarm from a peer that has the given revision in force."""
         self.book.adopt_alarm(revision, alarm)
-        self._tell_alarm()
+        self._report_alarm()
 
     async def offer(self, value: ConfigValue, compressed: bytes = b"") -> bool:
-        """Takes a value from anyone; returns whether it is in force now."""
+        """Validates a value and puts it in force if it is newer, whatever its source.
+
+        Returns:
+          Whether the value was put in force.
+        """
         async with self._rendering:
-            claim = self.judge(value.revision, value.digest)
-            # A service restored from an old copy offers an old revision. Without this check
-            # the fleet would go back to it, and operators would see a change undo itself.
-            if claim is ClaimVerdict.OLD and value.revision != self._old_offered:
-                self._old_offered = value.revision
+            claim = self.assess_claim(value.revision, value.digest)
+            # A service restored from an old backup offers an old revision. If it were accepted,
+            # the fleet would revert to it and undo changes that operators had made.
+            if claim is ClaimVerdict.OLD and value.revision != self._last_old_revision:
+                self._last_old_revision = value.revision
                 self._log.write(
                     Event.REVISION_OLD_OFFERED, revision=value.revision, in_force=self.revision
                 )
@@ -122,28 +127,28 @@
             return await self._put_in_force(revision, compressed)
 
     def refuse(self, revision: int, digest: str, reason: str) -> None:
-        """Takes that a value is invalid, from this process's own check or from a peer's."""
+        """Records that this process or a peer found a value invalid."""
         if self.book.refuse(revision, digest, reason):
             self._log.write(Event.REVISION_REFUSED, revision=revision, reason=reason)
             self.on_change()
 
     async def wait_after(self, revision: int) -> FleetRevision:
-        """Waits until a revision higher than the given one is in force, and returns it."""
+        """Waits until a revision higher than the given one is in force; returns it."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.revision > revision)
         return self._current
 
-    def _tell_alarm(self) -> None:
-        if self.book.alarm and self.book.alarm != self._alarm:
-            self._alarm = self.book.alarm
-            self._log.write(Event.REVISION_CONFLICT, reason=self._alarm)
+    def _report_alarm(self) -> None:
+        if self.book.alarm and self.book.alarm != self._reported_alarm:
+            self._reported_alarm = self.book.alarm
+            self._log.write(Event.REVISION_CONFLICT, reason=self._reported_alarm)
             self.on_change()
 
     async def _prepare(self, value: ConfigValue, compressed: bytes) -> tuple[FleetRevision, bytes]:
-        if len(value.content) <= LARGEST_RENDERED_INLINE_BYTES:
+        if len(value.content) <= MAX_INLINE_RENDER_BYTES:
             return prepare_value(value, self._site, compressed)
-        # A large value takes tens of milliseconds to render. On the event loop that would
-        # hold back every token that streams through this process.
+        # A large value takes tens of milliseconds to render. On the event loop this would delay
+        # all tokens that stream through this process.
         return await asyncio.to_thread(prepare_value, value, self._site, compressed)
 
     async def _put_in_force(self, revision: FleetRevision, compressed: bytes) -> bool:
@@ -159,7 +164,7 @@
 
 
 def prepare_value(value: ConfigValue, site: str, compressed: bytes) -> tuple[FleetRevision, bytes]:
-    """Renders a value for one site and compresses it for peers.
+    """Renders a value for one site, and compresses it for peers unless that was done.
 
     Raises:
       CodedError: The value is invalid.
@@ -169,8 +174,8 @@
 
 
 def ignore_change() -> None:
-    """Stands where nobody asked to be told of changes."""
+    """The default on_change callback; does nothing."""
 
 
-def ignore_answer(asked_at: float) -> None:
-    """Stands where nobody asked to be told of answers."""
+def ignore_confirmation(asked_at: float) -> None:
+    """The default on_confirmed callback; does nothing."""
--- a/wasabidrum/peers/configuration_follower_test.py
+++ b/wasabidrum/peers/configuration_follower_test.py
@@ -1,4 +1,4 @@
-"""Tests of the revision in force at one process, and of many under any interleaving."""
+"""Tests of the revision in force at one process, and at several under random interleavings."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 from ..core.digest import digest_of
 from ..core.errors import CodedError
 from ..observe.event_log import EventLog
-from .claim_fetcher import open_reply
+from .claim_fetcher import decode_value
 from .configuration_follower import ConfigurationFollower
 
 HOUR_SECONDS = 3600.0
@@ -23,7 +23,7 @@
 
 
 def make_value(revision: int, text: str = "", valid: bool = True) -> ConfigValue:
-    """Returns a published value; the text makes contents differ."""
+    """Returns a published value; different texts give different contents."""
     size = 1000 + revision if valid else "many"
     base = {"schema": 1, "limits": {"body_bytes": size}}
     overlays = {f"site-{text}": {}} if text else {}
@@ -32,11 +32,11 @@
 
 
 class FakeService:
-    """A configuration service in memory.
+    """An in-memory configuration service.
 
     Attributes:
       fault: "", "down" or "hang".
-      calls: How often it was asked.
+      calls: Number of calls to watch.
     """
 
     def __init__(self) -> None:
@@ -65,14 +65,14 @@
 
 
 def make_follower(service: FakeService) -> ConfigurationFollower:
-    """Returns a follower that logs nowhere."""
+    """Returns a follower whose log is discarded."""
     logger = logbook.Logger("test")
     logger.handlers.append(logbook.NullHandler())
     return ConfigurationFollower(service, SITE, EventLog(logger, "test"))
 
 
 def run_paused(test) -> None:
-    """Runs a test on a loop whose time jumps instead of passing."""
+    """Runs a test on an event loop with simulated time."""
     loop = looptime.new_event_loop(start=0)
     try:
         loop.run_until_complete(test())
@@ -81,11 +81,11 @@
 
 
 class ConfigurationFollowerTest(unittest.TestCase):
-    """One process before a service that fails in every way it can."""
+    """One process with a failing or inconsistent configuration service."""
 
     def test_the_service_is_down_for_an_hour(self) -> None:
-        """The service is down for an hour and comes back with the revision before. Callers
-        must be served throughout under the last revision, and the next one must hold."""
+        """The service is down for an hour and comes back with the previous revision. The last
+        revision must stay in force throughout, and the next one must be put in force."""
 
         async def test() -> None:
             service = FakeService()
@@ -108,8 +108,8 @@
         run_paused(test)
 
     def test_a_request_keeps_the_revision_that_it_began_with(self) -> None:
-        """A revision comes while a request runs. Were the object changed in place, the request
-        would be admitted under one limit and judged under another."""
+        """A revision arrives while a request runs. If the object were changed in place, the
+        request would be admitted under one limit and checked against another."""
 
         async def test() -> None:
             follower = make_follower(FakeService())
@@ -122,16 +122,16 @@
         run_paused(test)
 
     def test_two_readers_read_different_contents_under_one_number(self) -> None:
-        """Two copies of the service have different contents as revision 5. The one in force
-        stays, whichever it is, an alarm tells of it, and revision 6 unites all."""
+        """Two replicas of the service have different contents for revision 5. Each process must
+        keep the one that it has in force and raise an alarm; revision 6 resolves the conflict."""
 
         async def test() -> None:
             ours, theirs = make_follower(FakeService()), make_follower(FakeService())
             await ours.offer(make_value(5, "a"))
             await theirs.offer(make_value(5, "b"))
             held = {follower: follower.book.digest for follower in (ours, theirs)}
-            ours.judge(5, held[theirs])
-            theirs.judge(5, held[ours])
+            ours.assess_claim(5, held[theirs])
+            theirs.assess_claim(5, held[ours])
             for follower in (ours, theirs):
                 self.assertEqual(follower.book.digest, held[follower])
                 self.assertIn("revision 5 has two contents", follower.book.alarm)
@@ -141,29 +141,36 @@
         run_paused(test)
 
     def test_a_corrupt_reply_of_a_peer_is_not_taken(self) -> None:
-        """A link changes bytes of a value on its way from a peer. Taken unchecked, a site would
-        run limits that nobody wrote."""
+        """A link corrupts bytes of a value fetched from a peer. Without verification, a site
+        would apply limits that no operator has set."""
 
         async def test() -> None:
             follower = make_follower(FakeService())
             value = make_value(5)
             await follower.offer(value)
             good = follower.compressed
-            self.assertEqual(open_reply(5, value.digest, good), value)
-            for place in range(0, len(good), 3):
-                spoilt = bytearray(good)
-                spoilt[place] ^= 0x40
+            self.assertEqual(decode_value(5, value.digest, good), value)
+            for index in range(0, len(good), 3):
+                corrupted = bytearray(good)
+                corrupted[index] ^= 0x40
                 with self.assertRaises(CodedError):
-                    open_reply(5, value.digest, bytes(spoilt))
+                    decode_value(5, value.digest, bytes(corrupted))
             with self.assertRaises(CodedError):
-                open_reply(5, value.digest, good[:-1])
+                decode_value(5, value.digest, good[:-1])
 
         run_paused(test)
 
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """One step of an interleaving: what happens, at whom, and with what."""
+    """One step of an interleaving.
+
+    Attributes:
+      kind: The action; one of KINDS.
+      who: The index of the process that acts or is affected.
+      other: The index of the sender in a gossip step.
+      number: Selects the published value that a stale read returns.
+    """
 
     kind: str
     who: int
@@ -180,14 +187,14 @@
         strategies.integers(0, 4),
         strategies.integers(0, 20),
     ),
-    # Long enough that a process reads, and then hears of something older.
+    # Long enough that a process may read a revision and then receive an older one.
     min_size=30,
     max_size=60,
 )
 
 
 class Interleaving:
-    """Five processes, a service with a history, and a partition that comes and goes."""
+    """Five processes, a service with all its past revisions, and a partition."""
 
     def __init__(self) -> None:
         self.published = [make_value(1)]
@@ -195,7 +202,7 @@
         self.sides = [0] * 5
 
     async def play(self, step: Step) -> None:
-        """Plays one step; no process's revision may go down in it but by its own restart."""
+        """Runs one step; asserts that no process's revision decreases, except by a restart."""
         before = [process.revision for process in self.processes]
         who = step.who
         if step.kind.startswith("publish"):
@@ -206,7 +213,7 @@
         elif step.kind == "read":
             await self.processes[who].offer(self.published[-1])
         elif step.kind == "gossip":
-            await self.tell(step.other, who)
+            await self.share_revision(step.other, who)
         elif step.kind == "restart":
             self.processes[who] = make_follower(FakeService())
             before[who] = 0
@@ -217,34 +224,34 @@
         for process, revision in zip(self.processes, before, strict=True):
             assert process.revision >= revision, (step, process.revision, revision)
 
-    async def tell(self, teller: int, hearer: int) -> None:
-        """Has one process hear of another's revision, and fetch it where it wants it."""
-        if self.sides[teller] != self.sides[hearer]:
+    async def share_revision(self, sender: int, receiver: int) -> None:
+        """Makes the receiver learn of the sender's revision and offers it the value."""
+        if self.sides[sender] != self.sides[receiver]:
             return
-        book = self.processes[teller].book
+        book = self.processes[sender].book
         if not book.revision:
             return
-        self.processes[hearer].judge(book.revision, book.digest)
-        compressed = self.processes[teller].compressed
-        value = open_reply(book.revision, book.digest, compressed)
-        await self.processes[hearer].offer(value, compressed)
+        self.processes[receiver].assess_claim(book.revision, book.digest)
+        compressed = self.processes[sender].compressed
+        value = decode_value(book.revision, book.digest, compressed)
+        await self.processes[receiver].offer(value, compressed)
 
     async def converge(self) -> None:
-        """Lets all who are connected hear of each other, in some order, twice."""
+        """Shares revisions twice between all connected pairs, in a shuffled order."""
         pairs = [(a, b) for a in range(5) for b in range(5) if a != b]
         random.Random(1).shuffle(pairs)
-        for teller, hearer in pairs * 2:
-            await self.tell(teller, hearer)
+        for sender, receiver in pairs * 2:
+            await self.share_revision(sender, receiver)
 
 
 class InterleavingTest(unittest.TestCase):
-    """Under any interleaving no living process goes back, and the connected ones agree."""
+    """Checks that revisions never decrease, and that connected processes converge."""
 
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     @hypothesis.given(STEPS)
     def test_never_down_and_converging(self, steps: list[Step]) -> None:
-        """Reads, stale replies, gossip, restarts and partitions come in any order. Operators
-        must never see a daemon go back, nor two connected ones that stay apart."""
+        """Reads, stale replies, gossip, restarts and partitions happen in any order. No daemon
+        may revert to an older revision, and connected daemons must converge on one."""
 
         async def test() -> None:
             system = Interleaving()
--- a/wasabidrum/peers/control_handler.py
+++ b/wasabidrum/peers/control_handler.py
@@ -1,4 +1,4 @@
-"""GET /internal/control: how this daemon stands among the others, for operators and benches."""
+"""GET /internal/control: a daemon's control state, for operators and benchmarks."""
 
 import msgspec
 from tornado import web
@@ -8,14 +8,15 @@
 
 
 class ControlHandler(web.RequestHandler):
-    """Answers why a revision is here or not yet, and what control costs."""
+    """Serves the ControlReport, which shows why a revision is in force here or not, and the cost
+    of control traffic."""
 
     def initialize(self, node: PeerNode) -> None:
-        """Takes the node from the route."""
+        """Stores the node given by the route."""
         self._node = node
 
     def get(self) -> None:
-        """Answers with the report."""
+        """Writes the report as JSON."""
         report: ControlReport = self._node.report()
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(report))
--- a/wasabidrum/peers/control_report.py
+++ b/wasabidrum/peers/control_report.py
@@ -1,4 +1,4 @@
-"""What a daemon tells of its links and its control traffic."""
+"""A daemon's report on its links, its view of the members and its control traffic."""
 
 import msgspec
 
@@ -6,19 +6,23 @@
 
 
 class ControlReport(msgspec.Struct, frozen=True):
-    """How a daemon stands among the others.
+    """A daemon's control state.
 
     Attributes:
       revision: The revision in force here.
-      highest_heard: The highest revision that anyone claimed; above revision, it is on its
-        way or was refused.
-      readers: Who reads the service for this daemon's data centre.
-      parents: Whom this daemon hears from, by its plan.
-      linked: Whom it does hear from now.
-      watchers: How many hear from it.
-      suspected: Members that are silent; dead: those held to be gone.
-      list_implausible: Whether the platform's list lost too many at once.
-      isolated: Whether this daemon may be the one that is cut off.
+      highest_heard: The highest revision that any source claimed; one above revision is still
+        being fetched or was refused.
+      reads_service: Whether this daemon reads the configuration service now.
+      readers: The members that read the service for this daemon's data centre.
+      parents: The members that this daemon has to watch, by its plan.
+      linked: The members from which it receives pushes now.
+      watchers: How many members watch this daemon.
+      members: The number of known members.
+      suspected: Members suspected to be dead.
+      dead: Members declared dead.
+      list_implausible: Whether too many members disappeared from the platform's list at once.
+      isolated: Whether this daemon may be cut off from the others.
+      recently_verified: Whether the revision was confirmed since this process's last pause.
       traffic: Messages and bytes since the start.
     """
 
--- a/wasabidrum/peers/entry_counter.py
+++ b/wasabidrum/peers/entry_counter.py
@@ -1,4 +1,4 @@
-"""Counts the entries in service, among which the limits of workspaces are divided."""
+"""Counts the active entries, among which the limits of workspaces are divided."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from ..decisions.member_table import MemberTable
 from ..decisions.member_update import MemberState
 
-COUNT_SECONDS = 2.0
+COUNT_INTERVAL_SECONDS = 2.0
 
 
 class EntryCounter:
-    """The number of entries, counted anew now and then, since the table holds thousands."""
+    """Caches the number of entries: the table holds thousands of members, so each count is slow."""
 
     __slots__ = ("_table", "_own_name", "_count", "_counted_at")
 
@@ -21,9 +21,9 @@
         self._counted_at = float("-inf")
 
     def count(self) -> int:
-        """Returns how many entries take work, this one included."""
+        """Returns how many entries accept work, including this one."""
         now = asyncio.get_running_loop().time()
-        if now - self._counted_at >= COUNT_SECONDS:
+        if now - self._counted_at >= COUNT_INTERVAL_SECONDS:
             self._counted_at = now
             self._count = 1 + sum(
                 record.instance.role is InstanceRole.ENTRY
--- a/wasabidrum/peers/entry_messages.py
+++ b/wasabidrum/peers/entry_messages.py
@@ -1,6 +1,6 @@
-"""What entries say to each other where the platform publishes routes.
+"""The gRPC messages that entries exchange where the platform publishes routes.
 
-Fields may be added at the end only; see peer_messages.
+New fields may only be appended; see peer_messages.
 """
 
 import msgspec
@@ -11,10 +11,11 @@
 
 
 class EntryAddress(msgspec.Struct, frozen=True, array_like=True):
-    """Where an entry listens for others, and how many seconds ago it was heard.
+    """The address at which an entry accepts calls of other entries.
 
     Attributes:
-      data_centre: Where it stands; empty where the teller does not know.
+      age: Seconds since the entry was last heard from.
+      data_centre: Its data centre; empty if the sender does not know it.
     """
 
     host: str
@@ -24,20 +25,23 @@
 
 
 class Meet(msgspec.Struct, frozen=True, array_like=True):
-    """Says who calls, and whom the caller knows; the answer is the same the other way."""
+    """The sender's own address and those of the entries that it knows.
+
+    The reply is a Meet with the same data of the responder.
+    """
 
     own: EntryAddress
     known: tuple[EntryAddress, ...] = ()
 
 
 class FetchChanges(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for what changed in the platform's store after a revision; zero asks for all."""
+    """Requests the changes in the platform's store after a revision; zero requests all items."""
 
     after: int
 
 
 class PeerChange(msgspec.Struct, frozen=True, array_like=True):
-    """An item of the store; no value means that it is gone."""
+    """An item of the store; the value is None if the item was deleted."""
 
     key: str
     revision: int
@@ -53,12 +57,13 @@
 
 
 class ChangesReply(msgspec.Struct, frozen=True, array_like=True):
-    """What the asked entry holds.
+    """The responder's copy of the store, or the changes in it.
 
     Attributes:
-      revision: The store's revision up to which it has taken everything.
-      age: Seconds since it asked the store and heard of nothing newer.
-      whole: The changes are all items; what is not among them is gone.
+      revision: The store's revision that the copy reflects.
+      age: Seconds since it queried the store and there was nothing newer.
+      whole: Whether the changes are all items; an item that is not among them was deleted.
+      named: The versions of models' weights, with how long each has been wanted.
       unanswered: For how many seconds its own calls of the store have been failing; zero if they
         are not.
     """
@@ -72,11 +77,11 @@
 
 
 class TellSuspects(msgspec.Struct, frozen=True, array_like=True):
-    """Requests that were in progress when endpoints died, by their fingerprints."""
+    """Reports the fingerprints of the requests that were in progress when an endpoint died."""
 
     endpoint: str
     fingerprints: tuple[str, ...]
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True):
-    """Says that something was taken."""
+    """Acknowledges a message."""
--- a/wasabidrum/peers/instance_roster.py
+++ b/wasabidrum/peers/instance_roster.py
@@ -1,4 +1,4 @@
-"""The platform's instance list as this process holds it, with the changes between lists."""
+"""This process's copy of the platform's instance list, and the differences between lists."""
 
 import msgspec
 
@@ -6,11 +6,16 @@
 from ..core.instance import Instance, InstanceList
 from .peer_messages import FetchList, ListReply
 
-LISTS_KEPT = 4
+MAX_STORED_LISTS = 4
 
 
 class InstanceRoster:
-    """The newest list heard of from anyone, by its own date."""
+    """The newest instance list from any source, and a few earlier ones to compute differences.
+
+    Attributes:
+      as_of: The creation time of the newest list.
+      digest: The digest of the newest list.
+    """
 
     __slots__ = ("as_of", "digest", "_lists")
 
@@ -21,15 +26,16 @@
 
     @property
     def instances(self) -> tuple[Instance, ...]:
-        """The instances listed."""
+        """The instances of the newest list."""
         return tuple(self._lists.get(self.digest, {}).values())
 
     def find(self, name: str) -> Instance | None:
-        """Returns an instance of the list, or None where it is not listed."""
+        """Returns an instance of the newest list, or None if it is not listed."""
         return self._lists.get(self.digest, {}).get(name)
 
     def take(self, listed: InstanceList) -> bool:
-        """Takes a list; returns whether it says something new."""
+        """Stores a list unless it is older than the newest one; returns whether the instances
+        changed."""
         if listed.as_of < self.as_of:
             return False
         self.as_of = listed.as_of
@@ -40,12 +46,12 @@
         self.digest = digest
         self._lists.pop(digest, None)
         self._lists[digest] = by_name
-        while len(self._lists) > LISTS_KEPT:
+        while len(self._lists) > MAX_STORED_LISTS:
             del self._lists[next(iter(self._lists))]
         return True
 
     def reply(self, request: FetchList) -> ListReply:
-        """Returns the list, or only what changed where the asker's list is still known here."""
+        """Returns the newest list, or its changes if the requester's list is still stored here."""
         current = self._lists.get(self.digest, {})
         base = self._lists.get(request.digest)
         if base is None:
@@ -55,7 +61,7 @@
         return ListReply(self.as_of, self.digest, request.digest, changed, removed)
 
     def open(self, reply: ListReply) -> InstanceList | None:
-        """Returns the list of a reply, or None where its base is not held here."""
+        """Returns the full list of a reply, or None if the reply's base is not stored here."""
         base: dict[str, Instance] = {}
         if reply.base_digest:
             if reply.base_digest not in self._lists:
@@ -68,5 +74,5 @@
 
 
 def digest_instances(by_name: dict[str, Instance]) -> str:
-    """Returns a digest that does not depend on the list's order."""
+    """Returns a digest that does not depend on the order of the instances."""
     return digest_of(msgspec.msgpack.encode([by_name[name] for name in sorted(by_name)]))[:16]
--- a/wasabidrum/peers/listed_membership.py
+++ b/wasabidrum/peers/listed_membership.py
@@ -1,4 +1,4 @@
-"""Membership from the platform's list alone, with suspicion from this daemon's own traffic."""
+"""Membership from the platform's list alone, with suspicion from this daemon's own calls."""
 
 import asyncio
 import contextlib
@@ -8,11 +8,11 @@
 from ..platform.instance_directory import InstanceDirectory
 from .member_view import MemberView, MemberViews
 
-READ_LIST_SECONDS = 1.0
+READ_INTERVAL_SECONDS = 1.0
 
 
 class ListedMembership(MemberViews):
-    """Implements Membership by reading the list again and again."""
+    """Implements Membership by polling the platform's list."""
 
     __slots__ = ("_directory",)
 
@@ -21,14 +21,14 @@
         self._directory = directory
 
     async def run(self) -> None:
-        """Reads the list for ever."""
+        """Polls the list until cancelled."""
         while True:
             with contextlib.suppress(CodedError):
-                self.take_list((await self._directory.read()).instances)
-            await asyncio.sleep(READ_LIST_SECONDS)
+                self.apply_list((await self._directory.read()).instances)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
 
-    def take_list(self, instances: tuple[Instance, ...]) -> None:
-        """Takes the platform's list, keeping what is known of those whose address stays."""
+    def apply_list(self, instances: tuple[Instance, ...]) -> None:
+        """Replaces the members by the platform's list; a view is kept while its port is the same."""
         views = {}
         for instance in instances:
             known = self._views.get(instance.name)
--- a/wasabidrum/peers/member_list_cache.py
+++ b/wasabidrum/peers/member_list_cache.py
@@ -1,4 +1,4 @@
-"""Keeps the instance list: from the platform where this process reads it, else from peers."""
+"""Keeps the instance list up to date from the platform and from peers."""
 
 import asyncio
 import collections.abc
@@ -11,28 +11,30 @@
 from . import peer_client
 from .instance_roster import InstanceRoster
 
-READER_SECONDS = 2.0
-OTHERS_SECONDS = 300.0
+READER_INTERVAL_SECONDS = 2.0
+DEFAULT_INTERVAL_SECONDS = 300.0
 
 
 class MemberListCache:
-    """Reads the list at start and rarely, as a reader often, and takes it from peers.
+    """Polls the platform's list, often as a reader and else rarely, and fetches newer lists of
+    peers.
 
     Attributes:
+      roster: The newest list known.
       reads_often: Whether this process reads the list for its data centre.
     """
 
-    __slots__ = ("_directory", "_log", "_on_list", "_fetching", "_wake", "roster", "reads_often")
+    __slots__ = ("_directory", "_log", "_on_change", "_fetching", "_wake", "roster", "reads_often")
 
     def __init__(
         self,
         directory: InstanceDirectory,
         log: EventLog,
-        on_list: collections.abc.Callable[[], None],
+        on_change: collections.abc.Callable[[], None],
     ) -> None:
         self._directory = directory
         self._log = log
-        self._on_list = on_list
+        self._on_change = on_change
         self._fetching: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self.roster = InstanceRoster()
@@ -46,20 +48,20 @@
             self._log.write(Event.LIST_UNREACHABLE, reason=str(error))
             return
         if self.roster.take(listed):
-            self._on_list()
+            self._on_change()
 
     def set_reads_often(self, reads_often: bool) -> None:
-        """Takes whether this process is a reader now."""
+        """Sets whether this process is a reader, and so how often it polls."""
         self.reads_often = reads_often
         self._wake.set()
 
     async def run(self) -> None:
-        """Reads for ever."""
+        """Polls the list until cancelled."""
         while True:
             self._wake.clear()
-            seconds = READER_SECONDS if self.reads_often else OTHERS_SECONDS
+            seconds = READER_INTERVAL_SECONDS if self.reads_often else DEFAULT_INTERVAL_SECONDS
             try:
-                # The jitter keeps processes that started together from reading together.
+                # The jitter spreads the reads of processes that started at the same time.
                 async with asyncio.timeout(seconds * random.uniform(0.5, 1.0)):
                     await self._wake.wait()
             except TimeoutError:
@@ -68,8 +70,8 @@
             if self.reads_often:
                 await self.read()
 
-    def take_claim(self, as_of: float, digest: str, host: str, port: int) -> None:
-        """Takes a peer's word that it holds a later list."""
+    def handle_claim(self, as_of: float, digest: str, host: str, port: int) -> None:
+        """Fetches a peer's list if the peer claims a newer one."""
         if as_of <= self.roster.as_of or digest == self.roster.digest or not port:
             return
         if self._fetching is None or self._fetching.done():
@@ -82,4 +84,4 @@
             return
         listed = self.roster.open(reply)
         if listed is not None and self.roster.take(listed):
-            self._on_list()
+            self._on_change()
--- a/wasabidrum/peers/member_view.py
+++ b/wasabidrum/peers/member_view.py
@@ -1,4 +1,4 @@
-"""One daemon of the fleet as another daemon sees it."""
+"""A daemon's view of another member of the fleet."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberView:
-    """What is known of a daemon: what the platform lists, and what it says of itself.
+    """The known state of a daemon: its entry in the platform's list, and its own status.
 
     Attributes:
-      status: Its latest account of itself, or None where none was heard.
-      seen_at: When it was last heard, by the event loop's clock.
-      suspected: Whether there is evidence that it is dead; cleared when it is heard again.
+      status: The latest status received from it, or None.
+      seen_at: When its last message arrived, by the event loop's clock.
+      suspected: Whether there is evidence that it is dead; cleared by a later sign of life.
     """
 
     instance: Instance
@@ -24,23 +24,23 @@
 
     @property
     def name(self) -> str:
-        """The slot that the daemon fills."""
+        """The daemon's name; a replacement of its instance has the same one."""
         return self.instance.name
 
     @property
     def url(self) -> str:
-        """Where the daemon takes the fleet's HTTP requests."""
+        """The base URL at which the daemon accepts HTTP requests of the fleet."""
         return tls.fleet_url(self.instance.host, self.instance.http_port)
 
     @property
     def leaving(self) -> bool:
-        """Whether the list or the daemon itself says that it takes no new work."""
+        """Whether the list or the daemon's own status says that it accepts no new work."""
         says_so = self.status is not None and self.status.leaving
         return says_so or self.instance.state is InstanceState.LEAVING
 
 
 class MemberViews:
-    """Daemons by name, with suspicion from this daemon's own traffic; see Membership."""
+    """Implements Membership for a set of views, with suspicion from this daemon's own calls."""
 
     __slots__ = ("_views",)
 
--- a/wasabidrum/peers/membership.py
+++ b/wasabidrum/peers/membership.py
@@ -1,4 +1,4 @@
-"""The seam to what a daemon knows of the others."""
+"""The interface to a daemon's knowledge of the other daemons."""
 
 import typing
 
@@ -6,14 +6,14 @@
 
 
 class Membership(typing.Protocol):
-    """Who is there. What it tells may be late; evidence from traffic makes it less so."""
+    """The known daemons. The list may be stale; results of calls to members keep it fresher."""
 
     @property
     def members(self) -> list[MemberView]:
-        """Every daemon known, suspected and leaving ones included."""
+        """All known daemons, including those suspected or leaving."""
 
     def report_failure(self, name: str) -> None:
-        """Takes evidence that a daemon could not be reached."""
+        """Records that a daemon could not be reached."""
 
     def report_success(self, name: str) -> None:
-        """Takes evidence that a daemon answered."""
+        """Records that a daemon answered."""
--- a/wasabidrum/peers/message_codec.py
+++ b/wasabidrum/peers/message_codec.py
@@ -1,18 +1,18 @@
-"""Puts msgspec structs on gRPC, so that the peer protocol needs no generated code."""
+"""A gRPC codec for msgspec structs, so that the peer protocol needs no generated code."""
 
 import typing
 
 import msgspec
 from grpclib.encoding.base import CodecBase
 
-# What gRPC and HTTP/2 add to a message: the prefix and the frame's head.
+# The overhead of a message: gRPC's length prefix and the header of the HTTP/2 frame.
 MESSAGE_FRAME_BYTES = 14
-# What the receiver sends back for each: two window updates.
+# The receiver acknowledges each message with two HTTP/2 window updates.
 ACKNOWLEDGEMENT_BYTES = 26
 
 
 class MessageCounts(msgspec.Struct):
-    """Messages and bytes of this process with their HTTP/2 frames, without TCP and IP."""
+    """Messages and bytes of this process, with HTTP/2 framing but without TCP and IP headers."""
 
     messages_sent: int = 0
     messages_received: int = 0
@@ -21,7 +21,7 @@
 
 
 class MessageCodec(CodecBase):
-    """Encodes structs as MessagePack. A message that does not decode ends its stream."""
+    """Encodes structs as MessagePack. A message that cannot be decoded ends its stream."""
 
     __content_subtype__ = "msgpack"
 
@@ -31,7 +31,7 @@
         self.counts = MessageCounts()
 
     def encode(self, message: typing.Any, message_type: typing.Any) -> bytes:
-        """Returns the bytes of a struct."""
+        """Encodes a struct."""
         content = self._encoder.encode(message)
         self.counts.messages_sent += 1
         self.counts.bytes_sent += len(content) + MESSAGE_FRAME_BYTES
@@ -39,10 +39,10 @@
         return content
 
     def decode(self, data: bytes, message_type: typing.Any) -> typing.Any:
-        """Returns the struct of some bytes.
+        """Decodes a message of a type.
 
         Raises:
-          msgspec.MsgspecError: The bytes are not a message of the type.
+          msgspec.MsgspecError: The bytes are not a valid message of the type.
         """
         self.counts.messages_received += 1
         self.counts.bytes_received += len(data) + MESSAGE_FRAME_BYTES
--- a/wasabidrum/peers/outbound_links.py
+++ b/wasabidrum/peers/outbound_links.py
@@ -1,4 +1,4 @@
-"""The Watch streams that this process opens: kept up, ended when silent, opened again."""
+"""The Watch streams that this process opens: closed when silent, and reopened with backoff."""
 
 import asyncio
 import collections.abc
@@ -8,13 +8,17 @@
 from . import peer_client
 from .peer_link import LinkOwner, PeerLink
 
-FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 5.0
+INITIAL_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 5.0
 LINGER_SECONDS = 10.0
 
 
 class OutboundLink:
-    """One stream that is wanted, and the task that keeps it."""
+    """One wanted stream, and the task that maintains it.
+
+    Attributes:
+      unwanted_at: When the instance was first found to be no longer wanted, or None.
+    """
 
     __slots__ = ("instance", "link", "task", "unwanted_at")
 
@@ -26,7 +30,7 @@
 
 
 class OutboundLinks:
-    """Keeps a stream to each wanted instance, and says at once when one is lost."""
+    """Maintains a stream to each wanted instance, and reports each loss immediately."""
 
     __slots__ = ("_owner", "_gossip", "_silence_seconds", "_on_lost", "_links")
 
@@ -37,7 +41,14 @@
         silence_seconds: float,
         on_lost: collections.abc.Callable[[str, bool], None],
     ) -> None:
-        """Takes what to call with a name, and whether it refuses connections, on a loss."""
+        """Creates the set, without links.
+
+        Args:
+          gossip: Whether both ends push.
+          silence_seconds: How long a stream may be silent before it counts as lost.
+          on_lost: Called on each loss with the member's name and whether it refused the
+            connection.
+        """
         self._owner = owner
         self._gossip = gossip
         self._silence_seconds = silence_seconds
@@ -46,23 +57,23 @@
 
     @property
     def names(self) -> list[str]:
-        """Whom this process watches or tries to."""
+        """The names of the instances that this process watches or tries to watch."""
         return list(self._links)
 
     @property
     def live(self) -> list[PeerLink]:
-        """The streams that something was heard on."""
+        """The streams on which a status has been received."""
         links = (outbound.link for outbound in self._links.values())
         return [link for link in links if link is not None and link.status is not None]
 
     def keep(self, wanted: list[Instance], now: float) -> None:
-        """Opens what is wanted and missing; closes what has been unwanted for a while."""
+        """Opens missing streams to wanted instances, and closes those unwanted for a while."""
         by_name = {instance.name: instance for instance in wanted}
         for name, outbound in list(self._links.items()):
             instance = by_name.get(name)
             if instance is None:
-                # Plans of different processes differ for a moment. Closing at once would
-                # cut children off that have not opened their new link yet.
+                # The plans of different processes differ for a moment. Closing immediately
+                # would disconnect children that have not opened their new link yet.
                 outbound.unwanted_at = outbound.unwanted_at or now
                 if now - outbound.unwanted_at > LINGER_SECONDS:
                     self._close(name)
@@ -73,28 +84,28 @@
         for name, instance in by_name.items():
             if name not in self._links:
                 outbound = self._links[name] = OutboundLink(instance)
-                outbound.task = asyncio.ensure_future(self._hold(outbound))
+                outbound.task = asyncio.ensure_future(self._maintain(outbound))
 
     def end_silent(self, now: float) -> None:
-        """Ends streams on which nothing came for too long; a hung peer closes nothing."""
+        """Closes streams that received nothing for too long, as a hung peer does not close them."""
         for outbound in self._links.values():
             link = outbound.link
-            if link is not None and now - link.heard_at > self._silence_seconds:
+            if link is not None and now - link.last_received_at > self._silence_seconds:
                 link.end()
 
     def forgive(self, seconds: float) -> None:
-        """Takes that this process itself slept."""
+        """Excludes a pause of this process from the silence of its streams."""
         for outbound in self._links.values():
             if outbound.link is not None:
-                outbound.link.heard_at += seconds
+                outbound.link.last_received_at += seconds
 
     def wake_all(self) -> None:
-        """Has every stream push at once."""
+        """Makes every live stream push immediately."""
         for link in self.live:
             link.wake()
 
     async def close_all(self) -> None:
-        """Ends every stream."""
+        """Closes every stream and waits for its task to end."""
         tasks = [outbound.task for outbound in self._links.values()]
         for name in self.names:
             self._close(name)
@@ -105,9 +116,9 @@
         if outbound.task is not None:
             outbound.task.cancel()
 
-    async def _hold(self, outbound: OutboundLink) -> None:
+    async def _maintain(self, outbound: OutboundLink) -> None:
         instance = outbound.instance
-        pause = FIRST_RETRY_SECONDS
+        pause = INITIAL_RETRY_SECONDS
         while True:
             link = PeerLink(instance.name, self._gossip, self._owner)
             outbound.link = link
@@ -121,13 +132,13 @@
             outbound.link = None
             self._on_lost(instance.name, refused)
             if link.status is not None:
-                pause = FIRST_RETRY_SECONDS
+                pause = INITIAL_RETRY_SECONDS
             await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-            pause = min(LONGEST_RETRY_SECONDS, pause * 2)
+            pause = min(MAX_RETRY_SECONDS, pause * 2)
 
     async def _watch_until_lost(self, instance: Instance, link: PeerLink) -> None:
-        # The connection itself may hang in a network that drops packets, before there is
-        # a stream whose silence end_silent could notice.
+        # Where the network drops packets, connecting itself may hang. There is no link message
+        # yet by which end_silent could tell silence, so the first one has a timeout here.
         watching = asyncio.ensure_future(peer_client.watch(instance.host, instance.peer_port, link))
         try:
             await asyncio.wait((watching,), timeout=self._silence_seconds)
@@ -141,5 +152,5 @@
 
 
 def address_of(instance: Instance) -> tuple[str, int]:
-    """Returns where an instance takes peers."""
+    """Returns the host and port on which an instance accepts peers."""
     return instance.host, instance.peer_port
--- a/wasabidrum/peers/peer_client.py
+++ b/wasabidrum/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to another daemon's peer port."""
+"""Client calls to another daemon's peer port."""
 
 import asyncio
 import collections.abc
@@ -21,8 +21,8 @@
     Push,
 )
 
-ASK_SECONDS = 1.0
-FETCH_SECONDS = 5.0
+QUERY_TIMEOUT_SECONDS = 1.0
+FETCH_TIMEOUT_SECONDS = 5.0
 CODEC = MessageCodec()
 STREAM_ERRORS = (
     OSError,
@@ -36,7 +36,7 @@
 
 @contextlib.asynccontextmanager
 async def open_channel(host: str, port: int) -> collections.abc.AsyncIterator[client.Channel]:
-    """Opens a channel for the length of a block."""
+    """Opens a channel and closes it at the end of the block."""
     channel = client.Channel(host, port, codec=CODEC, ssl=tls.client_context())
     try:
         yield channel
@@ -45,49 +45,49 @@
 
 
 async def watch(host: str, port: int, link: PeerLink) -> None:
-    """Keeps a Watch stream until the other end ends it.
+    """Opens a Watch stream and runs it until either end closes it.
 
     Raises:
-      One of STREAM_ERRORS: It could not be opened, or broke; ConnectionRefusedError where
-        nobody listens there.
+      One of STREAM_ERRORS: It could not be opened, or broke; ConnectionRefusedError if no
+        process listens at the address.
     """
     async with open_channel(host, port) as channel:
         method = client.StreamStreamMethod(channel, peer_messages.WATCH_PATH, Push, Push)
         async with method.open() as stream:
-            # grpclib opens the stream with the first message, before which it cannot receive.
+            # grpclib opens the stream with the first message sent and cannot receive before.
             await stream.send_message(link.next_push())
             await link.run(stream, pushes=link.gossip)
 
 
 async def fetch_configuration(host: str, port: int, digest: str) -> ConfigurationReply:
-    """Asks what is in force there, and for its value where a digest is given.
+    """Queries a peer for its revision in force, and for its value if a digest is given.
 
     Raises:
-      CodedError: No answer came in time.
+      CodedError: The peer was unreachable or did not answer in time.
     """
-    seconds = FETCH_SECONDS if digest else ASK_SECONDS
+    seconds = FETCH_TIMEOUT_SECONDS if digest else QUERY_TIMEOUT_SECONDS
     path = peer_messages.FETCH_CONFIGURATION_PATH
     request = FetchConfiguration(digest)
     return await call(host, port, path, request, ConfigurationReply, seconds)
 
 
 async def fetch_list(host: str, port: int, digest: str) -> ListReply:
-    """Asks for the instance list that is held there, unless it has the digest given.
+    """Fetches a peer's instance list; without instances where it has the digest given.
 
     Raises:
-      CodedError: No answer came in time.
+      CodedError: The peer was unreachable or did not answer in time.
     """
     path = peer_messages.FETCH_LIST_PATH
-    return await call(host, port, path, FetchList(digest), ListReply, FETCH_SECONDS)
+    return await call(host, port, path, FetchList(digest), ListReply, FETCH_TIMEOUT_SECONDS)
 
 
 async def call(
     host: str, port: int, path: str, request: object, reply_type: type, seconds: float
 ) -> typing.Any:
-    """Makes one call on a channel of its own.
+    """Makes one unary call on a new channel.
 
     Raises:
-      CodedError: No answer came in time.
+      CodedError: The peer was unreachable or did not answer in time.
     """
     try:
         async with asyncio.timeout(seconds), open_channel(host, port) as channel:
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""One Watch stream, seen from either end: what was sent on it, and when it was last heard."""
+"""One Watch stream, seen from either end: what was sent on it, and when it last received."""
 
 import asyncio
 import typing
@@ -10,105 +10,111 @@
 from ..decisions.member_update import MemberUpdate
 from .peer_messages import Push
 
-GOSSIP_BEAT_SECONDS = 1.0
+GOSSIP_HEARTBEAT_SECONDS = 1.0
 STATUS_BEAT_SECONDS = 0.75
-NEWS_PER_PUSH = 32
+MAX_UPDATES_PER_PUSH = 32
 
 
 class MessageStream(typing.Protocol):
-    """The part of a gRPC stream that both of its ends have."""
+    """The methods that the client and server sides of a gRPC stream share."""
 
     async def send_message(self, message: Push) -> None:
         """Sends one message, waiting for the other end's flow control."""
 
     async def recv_message(self) -> Push | None:
-        """Returns the next message, or None once the other end has ended the stream."""
+        """Returns the next message, or None once the other end has closed the stream."""
 
 
 class LinkOwner(typing.Protocol):
-    """Whom a link tells of, and whom it tells."""
+    """Supplies the status that a link sends, and handles the messages that it receives."""
 
     def status(self) -> Status:
-        """Returns this process's account of itself, with a new sequence."""
+        """Returns this process's current status, with a new sequence number."""
 
     def take_push(self, link: "PeerLink", push: Push) -> None:
-        """Takes a message that arrived on a link."""
+        """Handles a message received on a link."""
 
 
 class GossipOwner(LinkOwner, typing.Protocol):
-    """What a link tells besides where both ends push, as the one that watches asks."""
+    """Supplies the instance list's digest and the member updates that gossip links also send."""
 
     @property
     def list_as_of(self) -> float:
-        """When the instance list held here was made."""
+        """The creation time of the instance list held here."""
 
     @property
     def list_digest(self) -> str:
         """The digest of that list."""
 
     def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
-        """Returns news after a place in the log, and the place after them."""
+        """Returns the next cursor, and at most limit member updates from the cursor on."""
 
 
 class PeerLink:
-    """What one end of a stream knows.
+    """The state of one end of a Watch stream.
 
     Attributes:
-      name: The member at the other end; empty at the watched end until its first message.
-      gossip: Whether both ends push.
-      heard_at: When the last message arrived, or when the link was made.
-      status: The other end's last whole status.
+      name: The name of the member at the other end.
+      gossip: Whether both ends send heartbeats and member updates, or only the watched end.
+      last_received_at: When the last message arrived, or when the link was created, by the event
+        loop's clock.
+      status: The other end's last complete status, or None before its first message.
     """
 
-    __slots__ = ("name", "gossip", "heard_at", "status", "_owner", "_waiter", "_woken")
-    __slots__ += ("_told", "_told_load", "_told_list", "_told_revision", "_cursor", "_receiving")
+    __slots__ = ("name", "gossip", "last_received_at", "status", "_owner", "_waiter", "_woken")
+    __slots__ += ("_sent_status", "_sent_load", "_sent_list_digest", "_sent_revision")
+    __slots__ += ("_cursor", "_receiving")
 
     def __init__(self, name: str, gossip: bool, owner: LinkOwner) -> None:
-        """Takes whom it tells of: a GossipOwner where both ends push."""
+        """Creates a link.
+
+        Args:
+          owner: A GossipOwner if gossip is true.
+        """
         self.name = name
         self.gossip = gossip
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         self.status: Status | None = None
         self._owner = owner
         self._waiter: asyncio.Future[None] | None = None
         self._woken = False
-        self._told: Status | None = None
-        self._told_load: Load | None = None
-        self._told_list = ""
-        self._told_revision = 0
+        self._sent_status: Status | None = None
+        self._sent_load: Load | None = None
+        self._sent_list_digest = ""
+        self._sent_revision = 0
         self._cursor = 0
         self._receiving: asyncio.Task[None] | None = None
 
     def wake(self) -> None:
-        """Has the next push go out at once."""
+        """Makes the next push go out immediately."""
         self._woken = True
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def next_push(self) -> Push:
-        """Returns what the other end does not know yet."""
+        """Returns a message with the fields that changed since the previous push."""
         status = self._owner.status()
-        kept = without_details(status)
-        told_status = None if kept == self._told else status
-        self._told = kept
+        stable = without_volatile_fields(status)
+        status_to_send = None if stable == self._sent_status else status
+        self._sent_status = stable
         load = None
-        if told_status is None and status.load != self._told_load:
+        if status_to_send is None and status.load != self._sent_load:
             held = status.load
             load = (held.running, held.waiting, held.slots, held.tokens_per_second, held.pace)
-        self._told_load = status.load
-        changed = told_status is None and status.revision != self._told_revision
-        self._told_revision = status.revision
+        self._sent_load = status.load
+        changed = status_to_send is None and status.revision != self._sent_revision
+        self._sent_revision = status.revision
         news: tuple[MemberUpdate, ...] = ()
         digest = ""
         if self.gossip:
-            self._cursor, news = self._owner.news_after(self._cursor, NEWS_PER_PUSH)
+            self._cursor, news = self._owner.news_after(self._cursor, MAX_UPDATES_PER_PUSH)
             digest = self._owner.list_digest
-            digest = "" if digest == self._told_list else digest
-            self._told_list = digest or self._told_list
+            digest = "" if digest == self._sent_list_digest else digest
+            self._sent_list_digest = digest or self._sent_list_digest
         return Push(
             sequence=status.sequence,
             gossip=self.gossip,
-            status=told_status,
+            status=status_to_send,
             load=load,
             uptime=status.uptime,
             list_as_of=self._owner.list_as_of if digest else 0.0,
@@ -119,7 +125,11 @@
         )
 
     def whole_status(self, push: Push) -> Status | None:
-        """Returns the other end's account after a message, or None before its first."""
+        """Merges a push into the other end's last status and returns the result.
+
+        Returns:
+          The other end's complete status, or None if it has not sent a full status yet.
+        """
         if push.status is not None:
             self.status = push.status
         elif self.status is not None:
@@ -135,43 +145,46 @@
             )
         return self.status
 
-    async def push_for_ever(self, stream: MessageStream) -> None:
-        """Sends at a steady beat, and at once when woken."""
-        beat = GOSSIP_BEAT_SECONDS if self.gossip else STATUS_BEAT_SECONDS
+    async def push_periodically(self, stream: MessageStream) -> None:
+        """Sends a push at a fixed interval, and immediately when woken."""
+        interval = GOSSIP_HEARTBEAT_SECONDS if self.gossip else STATUS_BEAT_SECONDS
         while True:
             self._woken = False
             push = self.next_push()
             await stream.send_message(push)
-            if len(push.news) < NEWS_PER_PUSH:
-                await self._wait(beat)
+            if len(push.news) < MAX_UPDATES_PER_PUSH:
+                await self._wait(interval)
 
     async def push_when_woken(self, stream: MessageStream) -> None:
-        """Sends when woken only."""
+        """Sends a push only when woken."""
         while True:
             await self._wait(None)
             self._woken = False
             await stream.send_message(self.next_push())
 
     async def receive_until_end(self, stream: MessageStream) -> None:
-        """Takes messages until the other end ends the stream.
+        """Passes messages to the owner until the other end closes the stream.
 
         Raises:
           OSError, grpclib.exceptions.GRPCError, grpclib.exceptions.StreamTerminatedError:
             The stream broke.
         """
         while (push := await stream.recv_message()) is not None:
-            self.heard_at = asyncio.get_running_loop().time()
+            self.last_received_at = asyncio.get_running_loop().time()
             self._owner.take_push(self, push)
 
     async def run(self, stream: MessageStream, pushes: bool) -> None:
-        """Receives and pushes until either way ends; where this end does not beat, when woken.
+        """Receives and sends until either direction ends.
+
+        Args:
+          pushes: Whether to send at a fixed interval; otherwise this end sends only when woken.
 
         Raises:
-          The error that ended the stream; none where it was ended by end() or by the other.
+          The error that broke the stream; none if end() or the other end closed it.
         """
         self._receiving = asyncio.ensure_future(self.receive_until_end(stream))
         tasks = [self._receiving]
-        push = self.push_for_ever if pushes else self.push_when_woken
+        push = self.push_periodically if pushes else self.push_when_woken
         tasks.append(asyncio.ensure_future(push(stream)))
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -184,7 +197,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def end(self) -> None:
-        """Ends the stream from this end, as when the other is silent."""
+        """Closes the stream from this end, for example because the other end is silent."""
         if self._receiving is not None:
             self._receiving.cancel()
 
@@ -202,8 +215,12 @@
             self._waiter = None
 
 
-def without_details(status: Status) -> Status:
-    """Returns a status without what changes often and is told by itself, or not at all."""
+def without_volatile_fields(status: Status) -> Status:
+    """Returns a status with its volatile fields reset.
+
+    These change often: a push carries them in fields of its own, or they alone are no reason to
+    send a full status.
+    """
     return msgspec.structs.replace(
         status,
         sequence=0,
--- a/wasabidrum/peers/peer_membership.py
+++ b/wasabidrum/peers/peer_membership.py
@@ -1,4 +1,4 @@
-"""Membership from the list, from peers' streams and from news, joined in the member table."""
+"""Membership from the member table, which joins the list, peers' streams and gossip."""
 
 import collections.abc
 
@@ -10,16 +10,20 @@
 
 
 class PeerMembership:
-    """Implements Membership."""
+    """Implements Membership with the member table and failures seen by this process."""
 
-    __slots__ = ("_table", "_own", "_own_view", "_views", "_version", "_failed")
+    __slots__ = ("_table", "_find_own", "_own_view", "_views", "_version", "_failed")
 
     def __init__(
-        self, table: MemberTable, own: collections.abc.Callable[[], Instance | None]
+        self, table: MemberTable, find_own: collections.abc.Callable[[], Instance | None]
     ) -> None:
-        """Takes the table, and what tells where the others find this process, if they do."""
+        """Creates the view of a table.
+
+        Args:
+          find_own: Returns this process's own listed instance, or None if it is not listed.
+        """
         self._table = table
-        self._own = own
+        self._find_own = find_own
         self._own_view: MemberView | None = None
         self._views: dict[str, MemberView] = {}
         self._version = -1
@@ -37,10 +41,11 @@
             }
         for name, view in self._views.items():
             self._update(view, self._table.get(name))
-        own = self._own()
+        own = self._find_own()
         if own is not None and (self._own_view is None or self._own_view.instance != own):
             self._own_view = MemberView(own)
-        # A list that is empty for a moment does not make this process unknown to its peers.
+        # The last own view is kept, so that a list that is briefly empty does not remove this
+        # process from the members.
         return [*self._views.values(), *([self._own_view] if self._own_view else [])]
 
     def report_failure(self, name: str) -> None:
@@ -57,6 +62,6 @@
         view.instance = record.instance
         view.status = record.status
         view.seen_at = record.last_message_at
-        # A failure met by this process counts until the member answers it, or is replaced.
+        # A failure seen by this process counts until the member answers it or is restarted.
         failed = self._failed.get(record.name) == record.incarnation
         view.suspected = failed or record.state is not MemberState.ALIVE
--- a/wasabidrum/peers/peer_messages.py
+++ b/wasabidrum/peers/peer_messages.py
@@ -1,7 +1,7 @@
-"""What the system's own processes say to each other over gRPC.
+"""The gRPC messages that daemons exchange.
 
-Fields may be added at the end only: both ends decode by position, so that a beat stays
-within some thirty bytes, and an older process ignores what it does not know.
+New fields may only be appended: fields are encoded by position, which keeps a heartbeat within
+about thirty bytes, and an older process ignores trailing fields that it does not know.
 """
 
 import msgspec
@@ -17,19 +17,19 @@
 
 
 class Push(msgspec.Struct, frozen=True, array_like=True):
-    """One message on a Watch stream, the same both ways; with all defaults, a bare beat.
+    """One message on a Watch stream, in either direction; a heartbeat if all fields are defaults.
 
     Attributes:
       sequence: The sender's count of its own statuses.
-      gossip: Told by the watcher in its first message: whether both ends push, or only
-        the watched one, as towards an entry that watches an endpoint.
-      status: The sender's account of itself, where more than the load changed.
-      load: Running, waiting, slots, tokens a second and pace, where they changed.
+      gossip: Set by the watcher in its first message: whether both ends push, or only the
+        watched one, as when an entry watches an endpoint.
+      status: The sender's full status, if more than the load or the revision changed.
+      load: Running, waiting, slots, tokens per second and pace, if they changed.
       uptime: How long the sender has run, in seconds.
-      list_as_of: When the instance list that the sender holds was made.
-      list_digest: The digest of that list, where it changed.
-      news: What the sender heard of third parties, oldest first.
-      revision: The revision in force at the sender, where it changed.
+      list_as_of: The creation time of the instance list that the sender holds.
+      list_digest: The digest of that list, if it changed.
+      news: Member updates that the sender received or made, oldest first.
+      revision: The revision in force at the sender, if it changed.
       config_digest: The digest of that revision's value.
     """
 
@@ -46,13 +46,13 @@
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the value with a digest; with no digest, only which revision is in force."""
+    """Requests the value with a digest; without a digest, only the revision in force."""
 
     digest: str = ""
 
 
 class ConfigurationReply(msgspec.Struct, frozen=True, array_like=True):
-    """What is in force at the asked process, and its compressed value where it was asked for."""
+    """The revision in force at the responder, with its compressed value if that was requested."""
 
     revision: int
     digest: str
@@ -60,16 +60,18 @@
 
 
 class FetchList(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the instance list; the digest says which one the asker holds."""
+    """Requests the instance list; the digest identifies the list that the requester holds."""
 
     digest: str = ""
 
 
 class ListReply(msgspec.Struct, frozen=True, array_like=True):
-    """The list that the asked process holds, or only its digest where the asker has it.
+    """The responder's instance list, or its changes since the requester's list.
 
     Attributes:
-      base_digest: Where not empty, instances and removed are the changes since that list.
+      as_of: The creation time of the list.
+      base_digest: If not empty, the digest of the list that instances and removed are relative
+        to.
     """
 
     as_of: float
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -1,4 +1,4 @@
-"""One process among the others: whom it hears, whom it tells, and what follows from it."""
+"""The peer-to-peer node of one daemon: its Watch streams, member table and configuration gossip."""
 
 import asyncio
 import collections.abc
@@ -23,11 +23,11 @@
 from .claim_fetcher import ClaimFetcher
 from .configuration_follower import ConfigurationFollower
 from .control_report import ControlReport
-from .isolation_watch import IsolationWatch
+from .isolation_detector import IsolationDetector
 from .member_list_cache import MemberListCache
-from .member_watch import MemberWatch
+from .member_tracker import MemberTracker
 from .outbound_links import OutboundLinks
-from .peer_asker import PeerAsker
+from .peer_verifier import PeerVerifier
 from .peer_client import CODEC
 from .peer_link import PeerLink
 from .peer_messages import ConfigurationReply, FetchConfiguration, FetchList, ListReply, Push
@@ -43,10 +43,11 @@
     """Owns the peer port, the links and the member table of one daemon.
 
     Attributes:
-      peer_port: Where it listens for peers.
-      table: Who is there.
-      lists: The instance list.
-      on_pause: Called with the length of each pause of this process.
+      peer_port: The port on which it listens for peers.
+      table: The known members and their states.
+      member_list: The platform's instance list.
+      on_pause: Callbacks, called with the seconds of each pause of this process that the event
+        loop's clock counted.
     """
 
     def __init__(
@@ -54,66 +55,68 @@
         settings: Settings,
         directory: InstanceDirectory,
         follower: ConfigurationFollower,
-        account: collections.abc.Callable[[], Status],
+        own_status: collections.abc.Callable[[], Status],
         log: EventLog,
         on_failure: collections.abc.Callable[[str, BaseException], None],
     ) -> None:
         self._settings = settings
         self._follower = follower
-        self._account = account
+        self._own_status = own_status
         self._log = log
         self._tasks = BackgroundTasks(on_failure)
-        self._gap = PauseDetector(awake_seconds())
-        self._noticed_seconds = 0.0
+        self._pause_detector = PauseDetector(awake_seconds())
+        self._handled_pause_seconds = 0.0
         self._inbound: set[PeerLink] = set()
         self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.lose)
         self._fetcher = ClaimFetcher(follower)
         self._server: server.Server | None = None
-        self._last_told: tuple[object, ...] = ()
+        self._last_pushed: tuple[object, ...] = ()
         self.peer_port = 0
         self.table = MemberTable(settings.name)
-        self._members = MemberWatch(self.table, account, log, self.wake_all)
+        self._members = MemberTracker(self.table, own_status, log, self.wake_all)
         self._plans = ReaderAssignment(self.table)
-        self._isolation = IsolationWatch(self.table, self.verify, self._tasks, log)
-        self.lists = MemberListCache(directory, log, self._take_list)
-        self._turn_at = now = asyncio.get_running_loop().time()
-        self._reader = ServiceReader(follower, self.lists, self._tasks, log, now)
-        self._asker = PeerAsker(self.table, follower, self._fetcher, self._gap, log)
+        self._isolation = IsolationDetector(self.table, self.verify, self._tasks, log)
+        self.member_list = MemberListCache(directory, log, self._apply_list)
+        self._observed_at = now = asyncio.get_running_loop().time()
+        self._reader = ServiceReader(follower, self.member_list, self._tasks, log, now)
+        self._verifier = PeerVerifier(
+            self.table, follower, self._fetcher, self._pause_detector, log
+        )
         self.on_pause: list[collections.abc.Callable[[float], None]] = []
         follower.on_change = self.wake_all
-        follower.on_answer = self._take_answer
+        follower.on_confirmed = self._record_confirmation
 
     @property
     def list_as_of(self) -> float:
         """See GossipOwner."""
-        return self.lists.roster.as_of
+        return self.member_list.roster.as_of
 
     @property
     def list_digest(self) -> str:
         """See GossipOwner."""
-        return self.lists.roster.digest
+        return self.member_list.roster.digest
 
     @property
     def reads_service(self) -> bool:
-        """Whether this process reads the platform's service now."""
+        """Whether this process reads the platform's configuration service now."""
         return self._reader.reads
 
     @property
     def plan(self) -> ReaderPlan:
-        """Who reads and who hears from whom, by the members known here."""
+        """The readers and the links between members, computed from the members known here."""
         return self._plans.plan
 
     @property
     def recently_verified(self) -> bool:
-        """Whether someone else confirmed this process's revision since it last slept."""
-        return self._gap.recently_verified(awake_seconds())
+        """Whether a peer or the service confirmed this process's revision since its last pause."""
+        return self._pause_detector.recently_verified(awake_seconds())
 
     def find_listed(self) -> Instance | None:
-        """Returns where the list says that this process listens, or None."""
-        return self.lists.roster.find(self._settings.name)
+        """Returns this process's own entry in the instance list, or None if it is not listed."""
+        return self.member_list.roster.find(self._settings.name)
 
     async def start(self) -> None:
-        """Listens for peers and starts the tasks."""
+        """Listens for peers and starts the background tasks."""
         listen = self._settings.listen
         sockets = netutil.bind_sockets(listen.peer_port, listen.host)
         self.peer_port = sockets[0].getsockname()[1]
@@ -122,7 +125,7 @@
         self._tasks.start("peers", self._run())
 
     async def stop(self) -> None:
-        """Ends every link and task."""
+        """Cancels the tasks and closes all links."""
         await self._tasks.cancel_all()
         await self._fetcher.stop()
         await self._outbound.close_all()
@@ -134,14 +137,14 @@
 
     def status(self) -> Status:
         """See LinkOwner."""
-        return self._account()
+        return self._own_status()
 
     def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
         """See GossipOwner."""
         return self._members.news.after(cursor, limit)
 
     def wake_all(self) -> None:
-        """Has every link push at once."""
+        """Makes every link push without waiting for its next heartbeat."""
         self._outbound.wake_all()
         for link in self._inbound:
             link.wake()
@@ -153,7 +156,8 @@
     def remove_inbound(self, link: PeerLink) -> None:
         """See PeerServiceOwner."""
         self._inbound.discard(link)
-        # A watcher whose plan changed ends its link too, and is no less alive for it.
+        # A watcher also closes its link when the plan makes this process no longer its parent;
+        # that is no sign of a failure.
         if link.gossip and self._settings.name in self.plan.parents(link.name):
             self.lose(link.name, False)
 
@@ -165,26 +169,28 @@
 
     def reply_list(self, request: FetchList) -> ListReply:
         """See PeerServiceOwner."""
-        return self.lists.roster.reply(request)
+        return self.member_list.roster.reply(request)
 
     def take_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
         now = asyncio.get_running_loop().time()
-        self._notice_pause(now)
+        self._handle_pause(now)
         status = link.whole_status(push)
         if status is None:
             return
-        self._members.record_sign_of_life(link.name, push, status, now)
+        self._members.record_push(link.name, push, status, now)
         if push.status is not None or push.revision:
-            self.take_claims(status)
+            self.handle_claims(status)
         if push.list_digest:
-            self.lists.take_claim(push.list_as_of, push.list_digest, status.host, status.peer_port)
-        self._members.take_news(push.news, now)
+            self.member_list.handle_claim(
+                push.list_as_of, push.list_digest, status.host, status.peer_port
+            )
+        self._members.apply_updates(push.news, now)
         if status.revision <= self._follower.revision:
-            self._gap.record_push(awake_seconds())
+            self._pause_detector.record_push(awake_seconds())
 
     def report(self) -> ControlReport:
-        """Returns how this daemon stands among the others."""
+        """Returns a report on this daemon's links, members and control traffic."""
         records = list(self.table.records)
         return ControlReport(
             revision=self._follower.revision,
@@ -203,97 +209,99 @@
             traffic=CODEC.counts,
         )
 
-    def take_claims(self, status: Status) -> None:
-        """Takes what a daemon says of its revision and of a refused one."""
-        self._fetcher.take_claim(
+    def handle_claims(self, status: Status) -> None:
+        """Handles the revision, the alarm and the refused revision in a daemon's status."""
+        self._fetcher.handle_claim(
             status.revision, status.config_digest, status.host, status.peer_port
         )
         if status.alarm:
-            self._follower.take_alarm(status.revision, status.alarm)
+            self._follower.adopt_alarm(status.revision, status.alarm)
         if status.refused_revision > max(self._follower.revision, self._follower.refused_revision):
             self._follower.refuse(status.refused_revision, "", status.refused_reason)
 
     def lose(self, name: str, refused: bool) -> None:
-        """Takes that a link to a daemon broke or fell silent, or that it refuses links."""
+        """Suspects a member whose link broke or went silent, or that refuses connections."""
         now = asyncio.get_running_loop().time()
-        self._notice_pause(now)
+        self._handle_pause(now)
         self._members.suspect(name, refused, now)
 
     async def verify(self) -> int:
-        """Asks a few peers for their revision and takes what is newer; returns how many
-        answered."""
-        return await self._asker.verify(self.plan.parents(self._settings.name))
+        """Queries a few peers for their revision and fetches a newer one; returns the number of
+        peers that answered."""
+        return await self._verifier.verify(self.plan.parents(self._settings.name))
 
     async def _run(self) -> None:
-        await self.lists.read()
+        await self.member_list.read()
         self._make_plan(asyncio.get_running_loop().time())
         if not await self.verify() and not self._follower.revision:
-            # Nobody to ask: the service's answer is all there is, and it may be stale. To
-            # wait for ever would leave a fleet that starts all at once with no service.
-            self._log.write(Event.CONFIGURATION_ALONE, reason="no peer answered; service is used")
-        self._tasks.start("list", self.lists.run())
+            # No peer answered, so the service is the only source, and it may be stale. Waiting
+            # for a peer would block for ever where the whole fleet starts at the same time.
+            self._log.write(
+                Event.CONFIGURATION_ALONE, reason="no peer answered; using the service's answer"
+            )
+        self._tasks.start("list", self.member_list.run())
         while True:
             self._tick()
             await asyncio.sleep(TICK_SECONDS)
 
     def _tick(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._notice_pause(now)
+        self._handle_pause(now)
         self._outbound.end_silent(now)
         for link in list(self._inbound):
-            if link.gossip and now - link.heard_at > GOSSIP_SILENCE_SECONDS:
+            if link.gossip and now - link.last_received_at > GOSSIP_SILENCE_SECONDS:
                 link.end()
-        self._isolation.judge(self._outbound.names)
+        self._isolation.check(self._outbound.names)
         self._members.tick(now)
         if self._plans.is_due(now):
             self._make_plan(now)
         connected = self._outbound.live or any(link.gossip for link in self._inbound)
-        self._reader.choose(self.plan.is_reader(self._settings.name), bool(connected), now)
-        self._look_over_links()
+        self._reader.update(self.plan.is_reader(self._settings.name), bool(connected), now)
+        self._check_links()
 
-    def _look_over_links(self) -> None:
-        # A fetch that failed is tried again from here, as long as any link claims more.
+    def _check_links(self) -> None:
+        # Retries a failed fetch as long as any link claims a higher revision.
         for link in (*self._outbound.live, *self._inbound):
             if link.status is not None and link.status.revision > self._follower.revision:
-                self.take_claims(link.status)
-        told = self._account()
-        key = (told.revision, told.version, told.leaving, told.model, told.service)
-        if key != self._last_told:
-            self._last_told = key
+                self.handle_claims(link.status)
+        status = self._own_status()
+        key = (status.revision, status.version, status.leaving, status.model, status.service)
+        if key != self._last_pushed:
+            self._last_pushed = key
             self.wake_all()
 
     def _make_plan(self, now: float) -> None:
-        wanted = self._plans.make(instance_from_status(self._account()), now)
+        wanted = self._plans.make(instance_from_status(self._own_status()), now)
         self._outbound.keep(wanted, now)
 
-    def _notice_pause(self, now: float) -> None:
-        self._gap.observe(awake_seconds())
-        paused = self._gap.paused_seconds - self._noticed_seconds
-        counted = now - self._turn_at
-        self._turn_at = now
+    def _handle_pause(self, now: float) -> None:
+        self._pause_detector.observe(awake_seconds())
+        paused = self._pause_detector.paused_seconds - self._handled_pause_seconds
+        counted = now - self._observed_at
+        self._observed_at = now
         if not paused:
             return
-        self._noticed_seconds = self._gap.paused_seconds
+        self._handled_pause_seconds = self._pause_detector.paused_seconds
         self._log.write(Event.PROCESS_PAUSED, seconds=round(paused, 2))
-        # When the others were heard is kept by the event loop's clock, which does not count a
-        # suspension. Moved on by more than it counted, these dates would lie in the future, and
-        # the dead would be taken for alive for as long.
+        # Receive times are kept by the event loop's clock, which does not count a suspension.
+        # Shifted by more than that clock counted, they would lie in the future, and dead members
+        # would be considered alive for that long.
         seconds = min(paused, counted)
         self.table.extend_time_limits(seconds)
         self._outbound.forgive(seconds)
         for link in self._inbound:
-            link.heard_at += seconds
+            link.last_received_at += seconds
         for call in self.on_pause:
             call(seconds)
-        self._tasks.start("verify", self._verify_quietly())
+        self._tasks.start("verify", self._verify_in_background())
 
-    async def _verify_quietly(self) -> None:
+    async def _verify_in_background(self) -> None:
         await self.verify()
 
-    def _take_list(self) -> None:
+    def _apply_list(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._members.take_list(self.lists.roster.instances, now)
+        self._members.apply_list(self.member_list.roster.instances, now)
         self.wake_all()
 
-    def _take_answer(self, asked_at: float) -> None:
-        self._gap.record_reply(asked_at, awake_seconds())
+    def _record_confirmation(self, asked_at: float) -> None:
+        self._pause_detector.record_reply(asked_at, awake_seconds())
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon does about its belief when its instance was suspended."""
+"""Tests of a daemon's membership and configuration state after its instance was suspended."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 class SuspendedNodeTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon, with no peers to ask; the platform is not reached."""
+    """One daemon without reachable peers or platform."""
 
     async def asyncSetUp(self) -> None:
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
@@ -45,11 +45,11 @@
         self.assertEqual(self.failures, [])
 
     async def test_what_was_verified_before_a_suspension_is_not_verified_after_it(self) -> None:
-        """An instance is suspended for a minute through a change of the configuration, by a
-        clock that does not count that time. Its daemon tells operators that it has just
-        verified what it has in force, and asks nobody: until its dead streams are noticed, up
-        to three seconds, a key that was taken away a minute ago opens its door."""
-        self.follower.on_answer(awake_seconds())
+        """An instance is suspended for a minute while the configuration changes, and the event
+        loop's clock does not count that time. By that clock the daemon would consider its
+        revision just verified and query no peer. Until its dead streams are noticed, up to three
+        seconds later, it would accept a key that was revoked a minute ago."""
+        self.follower.on_confirmed(awake_seconds())
         self.assertTrue(self.node.recently_verified)
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
@@ -57,9 +57,9 @@
     async def test_a_suspension_is_noticed_and_forgives_nobody_the_time_it_did_not_count(
         self,
     ) -> None:
-        """A daemon wakes after a minute. It asks others at once; but the dates at which it heard
-        them are of the clock that stood still. Moved on by the whole minute they would lie in
-        the future, and it would send callers to the dead for that long."""
+        """A daemon resumes after a minute and queries peers at once. The receive times of their
+        messages are of the clock that stood still. Shifted by the whole minute they would lie in
+        the future, and the daemon would route callers to dead members for that long."""
         self.node.table.apply_status(Status(PEER, InstanceRole.SIDECAR, "j"), self.now())
         self.node.lose(PEER, refused=False)
         with suspended_for(SUSPENDED_SECONDS):
@@ -69,12 +69,12 @@
         self.assertLessEqual(self.node.table.get(PEER).suspected_at, self.now())
 
     async def test_a_suspension_is_noticed_whoever_looks_first(self) -> None:
-        """A daemon wakes, and the first to look at the clock is an operator's question, or an
-        answer of the service to a question from before. The pause must not be used up by that:
-        the others would be asked by nobody, and those that were heard before it called dead."""
+        """A daemon resumes, and the first code to read the clock serves an operator's query, or
+        handles the service's answer to a request from before the suspension. This must not
+        consume the pause: no peer would be queried, and live members would be declared dead."""
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
-            self.follower.on_answer(awake_seconds() - SUSPENDED_SECONDS)
+            self.follower.on_confirmed(awake_seconds() - SUSPENDED_SECONDS)
             self.node.lose(PEER, refused=False)
         self.assertEqual(len(self.pauses), 1)
         self.assertFalse(self.node.recently_verified)
--- a/wasabidrum/peers/peer_service.py
+++ b/wasabidrum/peers/peer_service.py
@@ -1,4 +1,4 @@
-"""The gRPC service that every daemon offers to the others on its peer port."""
+"""The gRPC service that a daemon offers to its peers on the peer port."""
 
 import typing
 
@@ -16,23 +16,23 @@
 
 
 class PeerServiceOwner(GossipOwner, typing.Protocol):
-    """What the service answers from."""
+    """The node whose state the service serves."""
 
     def add_inbound(self, link: PeerLink) -> None:
-        """Takes a link that a watcher opened."""
+        """Registers a link that a watcher opened."""
 
     def remove_inbound(self, link: PeerLink) -> None:
-        """Takes that a watcher's link ended."""
+        """Unregisters a watcher's link that has ended."""
 
     def reply_configuration(self, request: FetchConfiguration) -> ConfigurationReply:
-        """Answers what is in force, with its value where asked for."""
+        """Returns the revision in force, with its value if the request's digest matches it."""
 
     def reply_list(self, request: FetchList) -> ListReply:
-        """Answers which instance list is held."""
+        """Returns the instance list held here, or the changes since the requester's list."""
 
 
 class PeerService:
-    """Implements the handlers. A watcher's stream lives until either end ends it."""
+    """Implements the gRPC handlers. A Watch stream stays open until either end closes it."""
 
     __slots__ = ("_owner",)
 
@@ -40,7 +40,7 @@
         self._owner = owner
 
     async def watch(self, stream: server.Stream) -> None:
-        """Pushes to a watcher, and takes its pushes where both ends gossip."""
+        """Serves a Watch stream: sends pushes to the watcher and handles the pushes it sends."""
         first = await stream.recv_message()
         if first is None or first.status is None:
             return
@@ -53,17 +53,17 @@
             self._owner.remove_inbound(link)
 
     async def fetch_configuration(self, stream: server.Stream) -> None:
-        """Answers FetchConfiguration."""
+        """Serves FetchConfiguration."""
         request = await stream.recv_message()
         await stream.send_message(self._owner.reply_configuration(request))
 
     async def fetch_list(self, stream: server.Stream) -> None:
-        """Answers FetchList."""
+        """Serves FetchList."""
         request = await stream.recv_message()
         await stream.send_message(self._owner.reply_list(request))
 
     def __mapping__(self) -> dict[str, const.Handler]:
-        """Returns the handlers by path, as grpclib asks for them."""
+        """Returns the handlers by path, as grpclib requires."""
         unary = const.Cardinality.UNARY_UNARY
         both = const.Cardinality.STREAM_STREAM
         return {
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_verifier.py
@@ -1,4 +1,4 @@
-"""Asks a few peers for their revision: at the start, after a pause, and when all fall silent."""
+"""Queries a few peers for their revision: at start, after a pause, and when peers go silent."""
 
 import asyncio
 import random
@@ -14,33 +14,33 @@
 from .claim_fetcher import ClaimFetcher
 from .configuration_follower import ConfigurationFollower
 
-PEERS_ASKED = 3
+MAX_PEERS_ASKED = 3
 
 
-class PeerAsker:
-    """Takes what is newer from those who answer, and counts that as verification."""
+class PeerVerifier:
+    """Verifies the revision in force against peers, and fetches a newer one from them."""
 
-    __slots__ = ("_table", "_follower", "_fetcher", "_gap", "_log")
+    __slots__ = ("_table", "_follower", "_fetcher", "_pause_detector", "_log")
 
     def __init__(
         self,
         table: MemberTable,
         follower: ConfigurationFollower,
         fetcher: ClaimFetcher,
-        gap: PauseDetector,
+        pause_detector: PauseDetector,
         log: EventLog,
     ) -> None:
         self._table = table
         self._follower = follower
         self._fetcher = fetcher
-        self._gap = gap
+        self._pause_detector = pause_detector
         self._log = log
 
     async def verify(self, parents: list[str]) -> int:
-        """Asks a parent or two and some others, and takes what is newer.
+        """Queries up to two parents and some other members, and fetches a newer revision.
 
         Returns:
-          How many answered.
+          The number of peers that answered.
         """
         asked_at = awake_seconds()
         asked = self._choose(parents, asyncio.get_running_loop().time())
@@ -48,7 +48,7 @@
         answered = sum(answers)
         await self._fetcher.wait()
         if answered and self._follower.revision >= self._follower.book.highest:
-            self._gap.record_reply(asked_at, awake_seconds())
+            self._pause_detector.record_reply(asked_at, awake_seconds())
         self._log.write(
             Event.PEERS_ASKED,
             asked=len(asked),
@@ -61,9 +61,9 @@
         usable = [record.instance for record in self._table.usable(now)]
         near = [instance for instance in usable if instance.name in parents]
         far = [instance for instance in usable if instance.name not in parents]
-        # One at least is no parent, since parents may be cut off together with this process.
-        chosen = near[: PEERS_ASKED - 1]
-        return chosen + random.sample(far, min(len(far), PEERS_ASKED - len(chosen)))
+        # At least one is not a parent, as parents may be cut off together with this process.
+        chosen = near[: MAX_PEERS_ASKED - 1]
+        return chosen + random.sample(far, min(len(far), MAX_PEERS_ASKED - len(chosen)))
 
     async def _ask(self, instance: Instance) -> bool:
         host, port = instance.host, instance.peer_port
@@ -71,5 +71,5 @@
             reply = await peer_client.fetch_configuration(host, port, "")
         except CodedError:
             return False
-        self._fetcher.take_claim(reply.revision, reply.digest, host, port)
+        self._fetcher.handle_claim(reply.revision, reply.digest, host, port)
         return True
--- a/wasabidrum/peers/reader_assignment.py
+++ b/wasabidrum/peers/reader_assignment.py
@@ -1,17 +1,17 @@
-"""Keeps the plan of who hears from whom in step with the members."""
+"""Keeps the plan of readers and links up to date with the members."""
 
 from ..core.instance import Instance
 from ..decisions.member_table import MemberTable
 from ..decisions.reader_plan import ReaderPlan
 
-PLAN_SECONDS = 0.5
+MIN_PLAN_INTERVAL_SECONDS = 0.5
 
 
 class ReaderAssignment:
-    """Makes the plan anew once the members have changed, twice a second at most.
+    """Recomputes the plan when the members have changed, at most twice a second.
 
     Attributes:
-      plan: The last plan made; empty before the first.
+      plan: The current plan; empty before the first.
     """
 
     __slots__ = ("_table", "_version", "_made_at", "plan")
@@ -23,11 +23,18 @@
         self.plan = ReaderPlan(())
 
     def is_due(self, now: float) -> bool:
-        """Returns whether the plan is to be made anew."""
-        return self._version != self._table.version and now - self._made_at >= PLAN_SECONDS
+        """Returns whether the plan has to be recomputed."""
+        return (
+            self._version != self._table.version
+            and now - self._made_at >= MIN_PLAN_INTERVAL_SECONDS
+        )
 
     def make(self, own: Instance, now: float) -> list[Instance]:
-        """Makes the plan by the members known now; returns whom this process is to watch."""
+        """Recomputes the plan from the members known now.
+
+        Returns:
+          The instances that this process has to watch.
+        """
         self._version = self._table.version
         self._made_at = now
         usable = self._table.usable(now)
--- a/wasabidrum/peers/service_reader.py
+++ b/wasabidrum/peers/service_reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's service and list for a data centre, while that is this process's part."""
+"""Polls the configuration service and the instance list while this process is a reader."""
 
 import asyncio
 
@@ -9,47 +9,60 @@
 from .member_list_cache import MemberListCache
 
 READER_WATCH_SECONDS = 2.0
-ALONE_SECONDS = 5.0
+DISCONNECTED_SECONDS = 5.0
 
 
 class ServiceReader:
-    """Starts and ends the reading.
+    """Starts and stops reading the service and the list on behalf of a data centre.
 
     Attributes:
-      reads: Whether this process reads now.
+      reads: Whether this process is reading now.
     """
 
-    __slots__ = ("_follower", "_lists", "_tasks", "_log", "_reading", "_connected_at", "reads")
+    __slots__ = (
+        "_follower",
+        "_member_list",
+        "_tasks",
+        "_log",
+        "_reading",
+        "_connected_at",
+        "reads",
+    )
 
     def __init__(
         self,
         follower: ConfigurationFollower,
-        lists: MemberListCache,
+        member_list: MemberListCache,
         tasks: BackgroundTasks,
         log: EventLog,
         now: float,
     ) -> None:
         self._follower = follower
-        self._lists = lists
+        self._member_list = member_list
         self._tasks = tasks
         self._log = log
         self._reading: asyncio.Task[None] | None = None
         self._connected_at = now
         self.reads = False
 
-    def choose(self, is_reader: bool, connected: bool, now: float) -> None:
-        """Takes whether the plan names this process, and whether it has a link to anyone."""
+    def update(self, is_reader: bool, connected: bool, now: float) -> None:
+        """Starts or stops reading.
+
+        Args:
+          is_reader: Whether the plan assigns this process as a reader.
+          connected: Whether it has a live link to any peer.
+        """
         if connected:
             self._connected_at = now
-        # A process that hears nobody would stay on its revision for ever.
-        alone = now - self._connected_at > ALONE_SECONDS
-        reads = alone or is_reader
+        # Without peers and without reading the service, it would never learn of a new revision.
+        disconnected = now - self._connected_at > DISCONNECTED_SECONDS
+        reads = disconnected or is_reader
         if reads == self.reads:
             return
         self.reads = reads
-        self._lists.set_reads_often(reads)
+        self._member_list.set_reads_often(reads)
         if reads:
-            self._log.write(Event.READER_STARTED, alone=alone)
+            self._log.write(Event.READER_STARTED, alone=disconnected)
             work = self._follower.run(READER_WATCH_SECONDS)
             self._reading = self._tasks.start("configuration", work)
         elif self._reading is not None:
