--- a/wasabidrum/peers/listed_membership.py
+++ b/wasabidrum/peers/listed_membership.py
@@ -28,7 +28,7 @@
             await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     def apply_list(self, instances: tuple[Instance, ...]) -> None:
-        """Replaces the members by the platform's list; a view is kept while its port is the same."""
+        """Replaces the members by the platform's list; keeps a view while its port is the same."""
         views = {}
         for instance in instances:
             known = self._views.get(instance.name)
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -62,8 +62,14 @@
     """
 
     __slots__ = ("name", "gossip", "last_received_at", "status", "_owner", "_waiter", "_woken")
-    __slots__ += ("_sent_status", "_sent_load", "_sent_list_digest", "_sent_revision")
-    __slots__ += ("_cursor", "_receiving")
+    __slots__ += (
+        "_sent_status",
+        "_sent_load",
+        "_sent_list",
+        "_sent_revision",
+        "_cursor",
+        "_receiving",
+    )
 
     def __init__(self, name: str, gossip: bool, owner: LinkOwner) -> None:
         """Creates a link.
@@ -80,7 +86,7 @@
         self._woken = False
         self._sent_status: Status | None = None
         self._sent_load: Load | None = None
-        self._sent_list_digest = ""
+        self._sent_list = ""
         self._sent_revision = 0
         self._cursor = 0
         self._receiving: asyncio.Task[None] | None = None
@@ -109,8 +115,8 @@
         if self.gossip:
             self._cursor, news = self._owner.news_after(self._cursor, MAX_UPDATES_PER_PUSH)
             digest = self._owner.list_digest
-            digest = "" if digest == self._sent_list_digest else digest
-            self._sent_list_digest = digest or self._sent_list_digest
+            digest = "" if digest == self._sent_list else digest
+            self._sent_list = digest or self._sent_list
         return Push(
             sequence=status.sequence,
             gossip=self.gossip,
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -27,11 +27,11 @@
 from .member_list_cache import MemberListCache
 from .member_tracker import MemberTracker
 from .outbound_links import OutboundLinks
-from .peer_verifier import PeerVerifier
 from .peer_client import CODEC
 from .peer_link import PeerLink
 from .peer_messages import ConfigurationReply, FetchConfiguration, FetchList, ListReply, Push
 from .peer_service import PeerService
+from .peer_verifier import PeerVerifier
 from .reader_assignment import ReaderAssignment
 from .service_reader import ServiceReader
 
