--- a/wasabidrum/endpoints/__init__.py
+++ b/wasabidrum/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The back ends that the system routes to: model engines and plain services."""
+"""The back ends that requests are routed to: model engines and plain services."""
--- a/wasabidrum/endpoints/generate_request.py
+++ b/wasabidrum/endpoints/generate_request.py
@@ -4,12 +4,13 @@
 
 
 class GenerateRequest(msgspec.Struct, frozen=True):
-    """What an engine needs to know to generate.
+    """A request to a model engine.
 
     Attributes:
-      request_id: The attempt's id; the engine repeats it on its first event.
-      resume_from: How many tokens the caller has already, when a stream is resumed.
-      priority: Lower runs first.
+      request_id: The attempt's id; the engine repeats it in its first event.
+      resume_from: When a stream is resumed, the number of tokens that the caller already has.
+      priority: A lower number runs first.
+      adapter: The name of the adapter to use, or empty for none.
       version: The version that must answer, or empty for the one in force.
     """
 
--- a/wasabidrum/endpoints/http_model_engine.py
+++ b/wasabidrum/endpoints/http_model_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, with newline-delimited JSON events."""
+"""Client of a model engine over HTTP, which streams newline-delimited JSON events."""
 
 import collections.abc
 
@@ -14,24 +14,24 @@
 
 ORDER_TIMEOUT_SECONDS = 30.0
 CHUNK_TIMEOUT_SECONDS = 60.0
-LONGEST_GENERATION_SECONDS = 900.0
+MAX_GENERATION_SECONDS = 900.0
 
 
 class EngineVersions(msgspec.Struct, frozen=True):
-    """What an engine says of its versions."""
+    """The engine's answer to a query of its versions; each may be empty."""
 
     active: str
     staged: str
 
 
 class MissingChunks(msgspec.Struct, frozen=True):
-    """What an engine answers to an order to stage a version."""
+    """The engine's answer to an order to stage a version: the chunks that it does not have."""
 
     missing: list[int]
 
 
 class HttpModelEngine:
-    """Implements ModelEngine."""
+    """Implements ModelEngine over HTTP."""
 
     __slots__ = ("_client", "_url")
 
@@ -47,7 +47,7 @@
     async def stage(self, version: str, manifest: Manifest, fence: int) -> list[int]:
         """See ModelEngine."""
         order = {"version": version, "manifest": manifest, "fence": fence}
-        body = await self._order("/v1/orders/stage", order)
+        body = await self._post_order("/v1/orders/stage", order)
         return msgspec.json.decode(body, type=MissingChunks).missing
 
     async def put_chunk(self, version: str, index: int, content: bytes) -> None:
@@ -62,7 +62,7 @@
 
     async def activate(self, version: str, fence: int) -> None:
         """See ModelEngine."""
-        await self._order("/v1/orders/activate", {"version": version, "fence": fence})
+        await self._post_order("/v1/orders/activate", {"version": version, "fence": fence})
 
     async def load_adapter(self, name: str, root: str, content: bytes, fence: int) -> None:
         """See ModelEngine."""
@@ -76,7 +76,7 @@
 
     async def set_role(self, role: str, fence: int) -> None:
         """See ModelEngine."""
-        await self._order("/v1/orders/role", {"role": role, "fence": fence})
+        await self._post_order("/v1/orders/role", {"role": role, "fence": fence})
 
     async def generate(self, request: GenerateRequest) -> collections.abc.AsyncIterator[bytes]:
         """See ModelEngine."""
@@ -84,7 +84,7 @@
             self._url + "/v1/generate",
             method="POST",
             body=msgspec.json.encode(request),
-            request_timeout=LONGEST_GENERATION_SECONDS,
+            request_timeout=MAX_GENERATION_SECONDS,
         )
         stream = await http_client.open_stream(self._client, outgoing, "engine")
         if stream.status != 200:
@@ -95,7 +95,7 @@
 
     async def cancel(self, request_id: str) -> None:
         """See ModelEngine."""
-        await self._order("/v1/cancel", {"request_id": request_id})
+        await self._post_order("/v1/cancel", {"request_id": request_id})
 
     async def load(self) -> Load:
         """See ModelEngine."""
@@ -106,7 +106,7 @@
         response = self._check(await http_client.fetch(self._client, request, "engine"))
         return msgspec.json.decode(response.body, type=kind)
 
-    async def _order(self, path: str, order: object) -> bytes:
+    async def _post_order(self, path: str, order: object) -> bytes:
         response = await http_client.post_json(
             self._client, self._url + path, order, ORDER_TIMEOUT_SECONDS
         )
@@ -121,5 +121,5 @@
 
 
 def make_model_engine(client: httpclient.AsyncHTTPClient, url: str) -> HttpModelEngine:
-    """Returns the engine behind a URL."""
+    """Returns a client of the engine at a base URL."""
     return HttpModelEngine(client, url)
--- a/wasabidrum/endpoints/http_plain_service.py
+++ b/wasabidrum/endpoints/http_plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""Client of a plain service over HTTP."""
 
 from tornado import httpclient
 
@@ -9,7 +9,7 @@
 
 
 class HttpPlainService:
-    """Implements PlainService."""
+    """Implements PlainService over HTTP."""
 
     __slots__ = ("_client", "_url")
 
@@ -40,5 +40,5 @@
 
 
 def make_plain_service(client: httpclient.AsyncHTTPClient, url: str) -> HttpPlainService:
-    """Returns the service behind a URL."""
+    """Returns a client of the service at a base URL."""
     return HttpPlainService(client, url)
--- a/wasabidrum/endpoints/model_engine.py
+++ b/wasabidrum/endpoints/model_engine.py
@@ -1,4 +1,4 @@
-"""The seam to a model engine: orders, weights, generation, load."""
+"""The interface to a model engine: orders, weights, generation and load."""
 
 import collections.abc
 import typing
@@ -9,42 +9,45 @@
 
 
 class ModelEngine(typing.Protocol):
-    """A model engine beside a sidecar. Every method may raise CodedError."""
+    """A model engine beside a sidecar. Every method may raise CodedError.
+
+    A fence is a fencing token: the engine refuses an order with an outdated one.
+    """
 
     async def versions(self) -> tuple[str, str]:
-        """Returns the version in force and the version being staged, each maybe empty."""
+        """Returns the version in force and the version being staged; each may be empty."""
 
     async def stage(self, version: str, manifest: Manifest, fence: int) -> list[int]:
-        """Starts to stage a version and returns the indices of the chunks it lacks.
+        """Starts to stage a version and returns the indices of its missing chunks.
 
-        An engine keeps the chunks that the new version shares with the one in force, so
-        those need not travel. Staging another version drops the one staged before.
+        The engine reuses the chunks that the new version shares with the one in force, so these
+        need not be sent. Staging another version drops the one staged before.
         """
 
     async def put_chunk(self, version: str, index: int, content: bytes) -> None:
-        """Hands over one verified chunk of the version being staged."""
+        """Uploads one verified chunk of the version being staged."""
 
     async def activate(self, version: str, fence: int) -> None:
-        """Switches to a completely staged version in one step.
+        """Switches atomically to a completely staged version.
 
-        Requests in progress end under the version that they began with.
+        Requests in progress finish with the version that they started with.
         """
 
     async def load_adapter(self, name: str, root: str, content: bytes, fence: int) -> None:
-        """Loads an adapter, complete and verified, under its name.
+        """Loads a complete and verified adapter under its name.
 
-        An adapter is small, so it is handed over whole; one of the same name is replaced
-        in one step.
+        An adapter is small, so it is uploaded in one request. It replaces one of the same name
+        atomically.
         """
 
     async def set_role(self, role: str, fence: int) -> None:
-        """Changes what the engine does: "mixed", "prefill" or "decode"."""
+        """Sets the engine's role: "mixed", "prefill" or "decode"."""
 
     def generate(self, request: GenerateRequest) -> collections.abc.AsyncIterator[bytes]:
-        """Yields newline-delimited JSON events until the answer is whole."""
+        """Yields newline-delimited JSON events until the answer is complete."""
 
     async def cancel(self, request_id: str) -> None:
-        """Frees the slot of a request that its caller gave up."""
+        """Cancels a request that its caller abandoned, which frees its slot."""
 
     async def load(self) -> Load:
-        """Returns the engine's load, which it reports late."""
+        """Returns the engine's load, which the engine reports with a delay."""
--- a/wasabidrum/endpoints/plain_service.py
+++ b/wasabidrum/endpoints/plain_service.py
@@ -1,4 +1,4 @@
-"""The seam to a plain service, some of whose calls may not be repeated."""
+"""The interface to a plain service, some of whose calls must not be repeated."""
 
 import typing
 
@@ -6,14 +6,14 @@
 
 
 class PlainService(typing.Protocol):
-    """A service beside a sidecar, called by path."""
+    """A service beside a sidecar, called by HTTP method and path."""
 
     async def call(
         self, method: str, path: str, headers: dict[str, str], body: bytes, timeout: float
     ) -> ServiceReply:
-        """Makes one call, once.
+        """Makes one call, without retries.
 
         Raises:
-          CodedError: With outcome NOT_RUN only where no byte reached the service, and
-            UNKNOWN where the call may have run.
+          CodedError: There is no complete answer. The outcome is NOT_RUN only if no byte
+            reached the service, and UNKNOWN if the call may have run.
         """
--- a/wasabidrum/endpoints/service_reply.py
+++ b/wasabidrum/endpoints/service_reply.py
@@ -1,14 +1,14 @@
-"""A plain service's whole answer."""
+"""The complete answer of a plain service."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """Status, content type and body of an answer that arrived whole.
+    """Status, content type and body of an answer that was received completely.
 
     Attributes:
-      replayed: Whether it was kept from an earlier copy of the same call.
+      replayed: Whether it is the stored answer to an earlier copy of the same call.
     """
 
     status: int
--- a/wasabidrum/outcomes/__init__.py
+++ b/wasabidrum/outcomes/__init__.py
@@ -1,1 +1,1 @@
-"""What makes an outcome provable: digests that tie an answer to its own request."""
+"""Digests that bind an answer to its request, so that a reported outcome can be relied on."""
--- a/wasabidrum/peers/configuration_follower_test.py
+++ b/wasabidrum/peers/configuration_follower_test.py
@@ -121,7 +121,7 @@
 
         run_paused(test)
 
-    def test_two_readers_read_different_contents_under_one_number(self) -> None:
+    def test_two_contents_of_one_revision_raise_an_alarm(self) -> None:
         """Two replicas of the service have different contents for revision 5. Each process must
         keep the one that it has in force and raise an alarm; revision 6 resolves the conflict."""
 
@@ -140,7 +140,7 @@
 
         run_paused(test)
 
-    def test_a_corrupt_reply_of_a_peer_is_not_taken(self) -> None:
+    def test_a_corrupt_reply_of_a_peer_is_rejected(self) -> None:
         """A link corrupts bytes of a value fetched from a peer. Without verification, a site
         would apply limits that no operator has set."""
 
@@ -249,7 +249,7 @@
 
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     @hypothesis.given(STEPS)
-    def test_never_down_and_converging(self, steps: list[Step]) -> None:
+    def test_revisions_never_decrease_and_converge(self, steps: list[Step]) -> None:
         """Reads, stale replies, gossip, restarts and partitions happen in any order. No daemon
         may revert to an older revision, and connected daemons must converge on one."""
 
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -44,7 +44,7 @@
         await self.node.stop()
         self.assertEqual(self.failures, [])
 
-    async def test_what_was_verified_before_a_suspension_is_not_verified_after_it(self) -> None:
+    async def test_a_verification_expires_with_a_suspension(self) -> None:
         """An instance is suspended for a minute while the configuration changes, and the event
         loop's clock does not count that time. By that clock the daemon would consider its
         revision just verified and query no peer. Until its dead streams are noticed, up to three
@@ -54,7 +54,7 @@
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
 
-    async def test_a_suspension_is_noticed_and_forgives_nobody_the_time_it_did_not_count(
+    async def test_a_suspension_does_not_move_receive_times_into_the_future(
         self,
     ) -> None:
         """A daemon resumes after a minute and queries peers at once. The receive times of their
@@ -68,7 +68,7 @@
         self.assertLess(self.pauses[0], 1.0)
         self.assertLessEqual(self.node.table.get(PEER).suspected_at, self.now())
 
-    async def test_a_suspension_is_noticed_whoever_looks_first(self) -> None:
+    async def test_a_suspension_is_handled_whatever_reads_the_clock_first(self) -> None:
         """A daemon resumes, and the first code to read the clock serves an operator's query, or
         handles the service's answer to a request from before the suspension. This must not
         consume the pause: no peer would be queried, and live members would be declared dead."""
--- a/wasabidrum/sidecar/__init__.py
+++ b/wasabidrum/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar role: runs beside one endpoint, orders it and passes requests to it."""
+"""The sidecar role: runs beside one endpoint, controls it and forwards requests to it."""
--- a/wasabidrum/sidecar/attempts.py
+++ b/wasabidrum/sidecar/attempt_registry.py
@@ -1,12 +1,12 @@
-"""The model attempts that run through a sidecar, so that each can be ended at any moment."""
+"""The model attempts that run through a sidecar, so that each can be cancelled at any time."""
 
 import asyncio
 
-REMEMBERED_CANCELS = 1024
+MAX_REMEMBERED_CANCELS = 1024
 
 
-class Attempts:
-    """Tasks by attempt id, and the ids of late attempts that were cancelled already."""
+class AttemptRegistry:
+    """Tasks by attempt id, and the ids of attempts that were cancelled before they arrived."""
 
     __slots__ = ("_tasks", "_cancelled")
 
@@ -15,26 +15,26 @@
         self._cancelled: dict[str, None] = {}
 
     def begin(self, attempt_id: str, task: asyncio.Task) -> bool:
-        """Registers an attempt; returns False where it must not start."""
-        # A cancel travels on a connection of its own and may overtake its attempt. Without
-        # this memory the attempt would then hold a slot for a caller that is long gone. A
-        # duplicate on the network would hold a second slot.
+        """Registers an attempt; returns False if it must not start."""
+        # A cancel uses a connection of its own and may arrive before its attempt. If it were
+        # not remembered, the attempt would occupy a slot for a caller that has disconnected. A
+        # duplicate of a running attempt would occupy a second slot.
         if attempt_id in self._cancelled or attempt_id in self._tasks:
             return False
         self._tasks[attempt_id] = task
         return True
 
     def end(self, attempt_id: str) -> None:
-        """Forgets an attempt that ended."""
+        """Unregisters an attempt that has ended."""
         self._tasks.pop(attempt_id, None)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Ends an attempt now, or when it arrives; returns whether it ran."""
+        """Cancels an attempt now, or when it arrives; returns whether it was running."""
         task = self._tasks.get(attempt_id)
         if task is not None:
             task.cancel()
             return True
         self._cancelled[attempt_id] = None
-        while len(self._cancelled) > REMEMBERED_CANCELS:
+        while len(self._cancelled) > MAX_REMEMBERED_CANCELS:
             del self._cancelled[next(iter(self._cancelled))]
         return False
--- a/wasabidrum/sidecar/call_handler_owner.py
+++ b/wasabidrum/sidecar/call_handler_owner.py
@@ -1,4 +1,4 @@
-"""What the handlers of calls need of the sidecar that they answer for."""
+"""The interface of the sidecar that the call handlers use."""
 
 import typing
 
@@ -9,40 +9,40 @@
 from ..endpoints.model_engine import ModelEngine
 from ..endpoints.plain_service import PlainService
 from ..peers.peer_node import PeerNode
-from .attempts import Attempts
-from .keyed_calls import KeyedCalls
+from .attempt_registry import AttemptRegistry
+from .idempotent_calls import IdempotentCalls
 
 
 class CallHandlerOwner(typing.Protocol):
-    """Who takes the fleet's requests for one endpoint.
+    """A sidecar that serves the fleet's requests to one endpoint.
 
     Attributes:
-      engine: The endpoint, or None where it is a plain service.
-      service: The endpoint, or None where it is a model engine.
-      leaving: Whether new work is refused.
-      requests: Counts the requests in progress, which a stop waits for.
+      engine: The endpoint, or None if it is a plain service.
+      service: The endpoint, or None if it is a model engine.
+      leaving: Whether the instance is leaving and accepts no new work.
+      requests: Counts the requests in progress, which a graceful stop waits for.
       attempts: The attempts that run at the engine.
-      keyed_calls: The calls that run at most once.
-      deaths: The requests that the engine was lost with.
-      node: Tells entries of a change at once.
-      tasks: Runs what outlives a handler.
+      idempotent_calls: The calls with keys, which run at most once.
+      deaths: The requests that were in progress when the engine was lost.
+      node: Pushes a changed status to entries.
+      tasks: Runs tasks that outlive a handler.
     """
 
     engine: ModelEngine | None
     service: PlainService | None
     leaving: bool
     requests: RequestsInProgress
-    attempts: Attempts
-    keyed_calls: KeyedCalls
+    attempts: AttemptRegistry
+    idempotent_calls: IdempotentCalls
     deaths: DeathRecord
     node: PeerNode
     tasks: BackgroundTasks
 
     def status(self) -> Status:
-        """Returns the daemon's own account of itself."""
+        """Returns the daemon's current status."""
 
-    def note_refused_while_leaving(self) -> None:
-        """Logs that work still came after the daemon began to leave."""
+    def log_work_while_leaving(self) -> None:
+        """Logs work that arrived while the instance is leaving."""
 
     async def cancel(self, attempt_id: str) -> None:
-        """Frees the engine's slot of an attempt that was given up."""
+        """Cancels an abandoned attempt, which frees its slot at the engine."""
--- a/wasabidrum/sidecar/call_handlers.py
+++ b/wasabidrum/sidecar/call_handlers.py
@@ -1,4 +1,4 @@
-"""What entries ask of a sidecar: run a request at the endpoint, or give one up."""
+"""The HTTP handlers by which entries run requests at a sidecar's endpoint and cancel them."""
 
 import asyncio
 import typing
@@ -16,41 +16,41 @@
 from ..outcomes.call_digest import digest_answer
 from ..wire import headers
 from .call_handler_owner import CallHandlerOwner
-from .service_attempt import ServiceAttempt, read_attempt
+from .service_attempt import ServiceAttempt, parse_attempt
 
-# How long after its caller's deadline a charge may still answer, so that a resend of its
-# key learns the result instead of "unknown".
-LATE_ANSWER_SECONDS = 60.0
+# How long after its caller's deadline the service may still answer a call with a key, so that a
+# retry with the same key gets the result instead of "unknown".
+LATE_ANSWER_GRACE_SECONDS = 60.0
 
 
 class CallHandler(web.RequestHandler):
-    """What the handlers of calls share."""
+    """The base class of the handlers."""
 
     def initialize(self, sidecar: CallHandlerOwner) -> None:
-        """Takes the sidecar from the route."""
+        """Stores the sidecar given by the route."""
         self.sidecar = sidecar
 
     def refuse(self, error: CodedError) -> None:
-        """Answers with an error and its outcome."""
+        """Responds with an error and its outcome."""
         self.set_status(error.http_status)
         self.set_header(headers.OUTCOME, error.outcome.value)
         self.set_header(headers.ERROR_CODE, error.code)
-        self.tell_status()
+        self.attach_status()
         self.write({"message": str(error)})
 
-    def tell_status(self) -> None:
-        """Puts this daemon's status on the answer, so that load travels with the work."""
+    def attach_status(self) -> None:
+        """Adds this daemon's status to the response, so that each answer also reports the load."""
         status = msgspec.json.encode(self.sidecar.status()).decode()
         self.set_header(headers.STATUS_ON_ANSWER, status)
 
     def check_taking_work(self) -> None:
-        """Refuses new work once this instance is leaving.
+        """Checks that this instance accepts new work.
 
         Raises:
-          CodedError: With outcome NOT_RUN; nothing has been started.
+          CodedError: The instance is leaving. The outcome is NOT_RUN.
         """
         if self.sidecar.leaving:
-            self.sidecar.note_refused_while_leaving()
+            self.sidecar.log_work_while_leaving()
             raise CodedError("endpoint_leaving", "this instance is leaving", 503)
 
 
@@ -61,85 +61,85 @@
     _prompt = ""
 
     async def post(self) -> None:
-        """Runs one attempt in a task of its own, so that it can be ended at any moment."""
+        """Runs one attempt in a separate task, so that it can be cancelled at any time."""
         with self.sidecar.requests.one():
             try:
                 self.check_taking_work()
-                order = msgspec.json.decode(self.request.body, type=GenerateRequest)
-                self._prompt = order.prompt
-                await self.run(order)
+                generate_request = msgspec.json.decode(self.request.body, type=GenerateRequest)
+                self._prompt = generate_request.prompt
+                await self.run(generate_request)
             except msgspec.MsgspecError as error:
                 self.refuse(CodedError("attempt_invalid", str(error), 400))
             except CodedError as error:
-                error = self.note_loss(error)
+                error = self.record_engine_loss(error)
                 if self._headers_written:
-                    self.cut()
+                    self.abort_connection()
                 else:
                     self.refuse(error)
 
-    async def run(self, order: GenerateRequest) -> None:
-        """Relays one attempt until it ends, is cancelled or loses its entry."""
+    async def run(self, generate_request: GenerateRequest) -> None:
+        """Relays one attempt until it ends, is cancelled or its entry disconnects."""
         attempts = self.sidecar.attempts
-        task = asyncio.ensure_future(self.relay(order))
-        if not attempts.begin(order.request_id, task):
+        task = asyncio.ensure_future(self.relay(generate_request))
+        if not attempts.begin(generate_request.request_id, task):
             task.cancel()
-            raise CodedError("attempt_cancelled", "cancelled, or a second copy", 409)
-        self._attempt_id = order.request_id
+            raise CodedError("attempt_cancelled", "cancelled, or a duplicate attempt", 409)
+        self._attempt_id = generate_request.request_id
         try:
             await task
         except (asyncio.CancelledError, iostream.StreamClosedError):
-            self.cut()
+            self.abort_connection()
         finally:
-            attempts.end(order.request_id)
+            attempts.end(generate_request.request_id)
 
-    async def relay(self, order: GenerateRequest) -> None:
-        """Passes the engine's events on as they come."""
+    async def relay(self, generate_request: GenerateRequest) -> None:
+        """Streams the engine's events to the entry as they arrive."""
         engine = typing.cast(ModelEngine, self.sidecar.engine)
-        self.tell_status()
-        async for chunk in engine.generate(order):
+        self.attach_status()
+        async for chunk in engine.generate(generate_request):
             self.write(chunk)
             await self.flush()
 
-    def cut(self) -> None:
-        """Ends an answer that will not become whole."""
-        # The head is gone, so the only honest end is a cut, which the entry sees as an
-        # answer without its last event.
+    def abort_connection(self) -> None:
+        """Closes the connection of a response that cannot be completed."""
+        # The response header has been sent, so an error status is no longer possible. The entry
+        # recognises the failure by the missing last event.
         self.request.connection.close()
 
-    def note_loss(self, error: CodedError) -> CodedError:
-        """Remembers a request that the engine was lost with, and gives its error a code."""
+    def record_engine_loss(self, error: CodedError) -> CodedError:
+        """Records the request if the engine was lost while it ran; returns the error to report."""
         if error.code != "peer_unreachable" or error.outcome is not Outcome.UNKNOWN:
             return error
         now = asyncio.get_running_loop().time()
         self.sidecar.deaths.record_lost(poison.fingerprint_of(self._prompt), now)
-        # A caller resends at once, maybe through another entry. Told only at the next beat,
-        # that entry would let the request crash one endpoint more.
+        # The caller may retry at once, through another entry. If that entry learned of the loss
+        # only with the next heartbeat, the request could crash another endpoint.
         self.sidecar.node.wake_all()
         return CodedError("engine_lost", str(error), 502, error.outcome)
 
     def on_connection_close(self) -> None:
-        """Frees the engine's slot when the entry went away."""
+        """Frees the engine's slot if the entry disconnected."""
         if self._attempt_id:
             self.sidecar.tasks.start("cancel", self.sidecar.cancel(self._attempt_id))
 
 
 class CancelHandler(CallHandler):
-    """POST /internal/cancel/ATTEMPT: frees the slot of an attempt given up."""
+    """POST /internal/cancel/ATTEMPT: cancels an abandoned attempt and frees its slot."""
 
     async def post(self, attempt_id: str) -> None:
-        """Cancels; an attempt that already ended is no error."""
+        """Cancels the attempt; it is no error if the attempt has already ended."""
         await self.sidecar.cancel(attempt_id)
 
 
 class ServiceHandler(CallHandler):
-    """POST /internal/service: makes one call to the plain service."""
+    """POST /internal/service: makes a call to the plain service."""
 
     async def post(self) -> None:
-        """Answers one copy of a call; one that may not be repeated runs once for all copies."""
+        """Responds to one copy of a call; a call with a key runs at most once for all copies."""
         with self.sidecar.requests.one():
             attempt_id = self.request.headers.get(headers.ATTEMPT_ID, "")
             try:
-                attempt = read_attempt(self.request.headers, self.request.body)
+                attempt = parse_attempt(self.request.headers, self.request.body)
                 reply = await self.run(attempt)
             except CodedError as error:
                 self.refuse_attempt(attempt_id, error)
@@ -147,54 +147,58 @@
             self.answer(attempt_id, reply)
 
     async def run(self, attempt: ServiceAttempt) -> ServiceReply:
-        """Runs the call, or finds what became of an earlier copy.
+        """Runs the call, or returns the result of an earlier copy.
 
         Raises:
-          CodedError: No whole answer; the outcome is proved.
+          CodedError: There is no complete answer. The error's outcome is reliable.
         """
         if attempt.key is None:
             self.check_taking_work()
             return await self.send(attempt, attempt.patience)
         if self.sidecar.leaving:
-            self.sidecar.note_refused_while_leaving()
-        calls = self.sidecar.keyed_calls
+            self.sidecar.log_work_while_leaving()
+        calls = self.sidecar.idempotent_calls
         start_before = min(attempt.start_before, calls.uptime + attempt.patience)
 
-        async def work() -> ServiceReply:
+        async def call_service() -> ServiceReply:
             with self.sidecar.requests.one():
-                return await self.send(attempt, attempt.patience + LATE_ANSWER_SECONDS)
+                return await self.send(attempt, attempt.patience + LATE_ANSWER_GRACE_SECONDS)
 
         return await calls.run(
-            attempt.workspace, attempt.key, attempt.fingerprint, start_before, work
+            attempt.workspace, attempt.key, attempt.fingerprint, start_before, call_service
         )
 
     async def send(self, attempt: ServiceAttempt, timeout: float) -> ServiceReply:
-        """Sends the call to the service, once."""
+        """Sends the call to the service once, without retries."""
         service = typing.cast(PlainService, self.sidecar.service)
-        given = {"Content-Type": attempt.content_type} if attempt.content_type else {}
-        return await service.call(attempt.method, attempt.path, given, attempt.body, timeout)
+        call_headers = {"Content-Type": attempt.content_type} if attempt.content_type else {}
+        return await service.call(attempt.method, attempt.path, call_headers, attempt.body, timeout)
 
     def answer(self, attempt_id: str, reply: ServiceReply) -> None:
-        """Answers whole, with the digest that ties the answer to its attempt."""
+        """Writes the service's reply, with a digest that binds it to the attempt."""
         self.set_status(reply.status)
         self.set_header("Content-Type", reply.content_type)
         self.set_header(headers.OUTCOME, Outcome.DONE.value)
         if reply.replayed:
             self.set_header(headers.IDEMPOTENT_REPLAYED, "true")
-        self.tell_status()
-        self.seal(attempt_id, reply.status, reply.content_type, Outcome.DONE, "", reply.body)
+        self.attach_status()
+        self.write_with_digest(
+            attempt_id, reply.status, reply.content_type, Outcome.DONE, "", reply.body
+        )
 
     def refuse_attempt(self, attempt_id: str, error: CodedError) -> None:
-        """Answers with an error, tied to its attempt too."""
+        """Writes an error, with a digest that binds it to the attempt."""
         self.set_status(error.http_status)
         self.set_header("Content-Type", "text/plain")
         self.set_header(headers.OUTCOME, error.outcome.value)
         self.set_header(headers.ERROR_CODE, error.code)
-        self.tell_status()
+        self.attach_status()
         body = str(error).encode()
-        self.seal(attempt_id, error.http_status, "text/plain", error.outcome, error.code, body)
+        self.write_with_digest(
+            attempt_id, error.http_status, "text/plain", error.outcome, error.code, body
+        )
 
-    def seal(
+    def write_with_digest(
         self,
         attempt_id: str,
         status: int,
@@ -203,7 +207,7 @@
         code: str,
         body: bytes,
     ) -> None:
-        """Writes the body under the digest of the whole answer."""
+        """Writes the body, and a header with the digest of the complete response."""
         digest = digest_answer(attempt_id, status, content_type, outcome.value, code, body)
         self.set_header(headers.ANSWER_DIGEST, digest.hex())
         self.write(body)
@@ -213,6 +217,6 @@
     """GET /internal/status."""
 
     def get(self) -> None:
-        """Answers with this daemon's own account of itself."""
+        """Writes this daemon's status as JSON."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.sidecar.status()))
--- a/wasabidrum/sidecar/daemon.py
+++ b/wasabidrum/sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""The sidecar daemon: one per endpoint, its only way in."""
+"""The sidecar daemon: one per endpoint, which receives all its requests through it."""
 
 import asyncio
 
@@ -33,17 +33,17 @@
 from ..weights.weights_side import WeightsSide, make_weights_side
 from ..wire import http_client, tls
 from . import call_handlers
-from .attempts import Attempts
-from .keyed_calls import KeyedCalls
+from .attempt_registry import AttemptRegistry
+from .idempotent_calls import IdempotentCalls
 
 LOAD_READ_SECONDS = 0.25
 LEAVING_NOTICE_SECONDS = 2.0
-# For how long a leaving instance takes calls with its keys that it has not seen before.
-KEYS_TAKEN_SECONDS = 1.5
+# For how long a leaving instance still accepts calls with new idempotency keys issued for it.
+NEW_KEYS_GRACE_SECONDS = 1.5
 
 
 class Sidecar:
-    """Owns the endpoint's tasks and serves the fleet's requests for it."""
+    """Owns the tasks beside one endpoint and serves the fleet's requests to it."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         self._settings = settings
@@ -60,8 +60,8 @@
         self.service: PlainService | None = None
         self.weights: WeightsSide | None = None
         self.tasks = BackgroundTasks(self._report_failure)
-        self.attempts = Attempts()
-        self.keyed_calls = KeyedCalls(make_ledger(self._incarnation), self.tasks, log)
+        self.attempts = AttemptRegistry()
+        self.idempotent_calls = IdempotentCalls(make_ledger(self._incarnation), self.tasks, log)
         configuration = make_configuration_service(self._client, settings.platform.configuration)
         self.follower = ConfigurationFollower(configuration, settings.site, log)
         directory = make_instance_directory(self._client, settings.platform.instances)
@@ -89,14 +89,14 @@
             self.service = make_plain_service(self._client, settings.endpoint.url)
 
     async def start(self) -> None:
-        """Listens and starts the background tasks."""
-        given = {"sidecar": self}
+        """Starts the HTTP server and the background tasks."""
+        arguments = {"sidecar": self}
         self._add_gauges()
         routes = [
-            (r"/internal/generate", call_handlers.GenerateHandler, given),
-            (r"/internal/service", call_handlers.ServiceHandler, given),
-            (r"/internal/cancel/([^/]+)", call_handlers.CancelHandler, given),
-            (r"/internal/status", call_handlers.StatusHandler, given),
+            (r"/internal/generate", call_handlers.GenerateHandler, arguments),
+            (r"/internal/service", call_handlers.ServiceHandler, arguments),
+            (r"/internal/cancel/([^/]+)", call_handlers.CancelHandler, arguments),
+            (r"/internal/status", call_handlers.StatusHandler, arguments),
             (r"/internal/control", ControlHandler, {"node": self.node}),
             *make_routes(self._log),
         ]
@@ -138,21 +138,21 @@
         )
 
     async def stop(self) -> None:
-        """Leaves gracefully: takes no new work, ends what is in progress, then stops."""
+        """Leaves gracefully: refuses new work, drains requests in progress, then stops."""
         self.leaving = True
         self.node.wake_all()
         self._log.write(Event.DAEMON_LEAVING, in_progress=self.requests.count)
-        # A key that was issued a moment ago is good at this instance only.
-        await asyncio.sleep(KEYS_TAKEN_SECONDS)
-        self.keyed_calls.leave()
-        await asyncio.sleep(LEAVING_NOTICE_SECONDS - KEYS_TAKEN_SECONDS)
+        # A key that an entry issued just now is valid at this instance only.
+        await asyncio.sleep(NEW_KEYS_GRACE_SECONDS)
+        self.idempotent_calls.refuse_new_calls()
+        await asyncio.sleep(LEAVING_NOTICE_SECONDS - NEW_KEYS_GRACE_SECONDS)
         await self.requests.wait_until_idle(self._settings.drain_seconds)
         await self.tasks.cancel_all()
         await self.node.stop()
         self._log.write(Event.DAEMON_STOPPED, in_progress=self.requests.count)
 
     def status(self) -> Status:
-        """Returns this daemon's own account of itself."""
+        """Returns this daemon's current status."""
         self._sequence += 1
         current = self.follower.current
         fleet = current.fleet if current else None
@@ -173,7 +173,7 @@
             service=endpoint.service if endpoint else "",
             wanted_version=wanted_version(fleet, endpoint),
             leaving=self.leaving,
-            uptime=self.keyed_calls.uptime,
+            uptime=self.idempotent_calls.uptime,
             load=self._load,
             suspects=self.deaths.suspects(asyncio.get_running_loop().time()),
             refused_revision=self.follower.refused_revision,
@@ -183,12 +183,12 @@
         )
         return self.weights.complete_status(status) if self.weights else status
 
-    def note_refused_while_leaving(self) -> None:
-        """Logs that work still came, so that operators see how long entries went on."""
+    def log_work_while_leaving(self) -> None:
+        """Logs work that arrived while leaving, so that operators see how long entries send it."""
         self._log.write(Event.WORK_WHILE_LEAVING)
 
     async def cancel(self, attempt_id: str) -> None:
-        """Frees the engine's slot of an attempt that was given up."""
+        """Cancels an abandoned attempt, which frees its slot at the engine."""
         self.attempts.cancel(attempt_id)
         if self.engine is None:
             return
@@ -198,7 +198,7 @@
             self._log.write(Event.TASK_FAILED, task="cancel", reason=str(error))
 
     async def _ask_peers(self) -> int:
-        # Without peer streams there is nobody to ask but the service.
+        # Without peer streams, the service is the only source to query.
         return 0 if self._settings.control == "service" else await self.node.verify()
 
     async def _read_load(self) -> None:
@@ -206,8 +206,8 @@
             try:
                 self._load = await self.engine.load()
             except CodedError:
-                # A dead engine refuses in a millisecond and so looks idle. Told as having no
-                # slots, it is left out by entries, which else try it with callers' requests.
+                # A dead engine refuses within a millisecond and so looks idle. With no slots
+                # reported, entries do not select it; otherwise callers' requests would fail there.
                 self._load = Load(slots=0)
             await asyncio.sleep(LOAD_READ_SECONDS)
 
@@ -216,7 +216,7 @@
 
 
 def wanted_version(fleet: Fleet | None, endpoint: EndpointSpec | None) -> str:
-    """Returns the version that the files want at an endpoint, or empty."""
+    """Returns the version that the configuration wants at an endpoint, or empty."""
     model = fleet.models.get(endpoint.model) if fleet and endpoint else None
     return model.version if model else ""
 
--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -1,4 +1,4 @@
-"""The sidecar where the platform publishes endpoints: brings its engine weights, tells its load."""
+"""The sidecar where the platform publishes endpoints: loads weights, reports the engine's load."""
 
 from tornado import httpserver, netutil, web
 
@@ -29,14 +29,15 @@
 from .load_service import LoadService
 
 METRICS_PORT_OFFSET = 2
-# The part of the instance's link that weights may take while its engine answers. A version is
-# two seconds' worth of the link and has eight until it must be in force, of which switching
-# takes two or three; the rest of the link keeps the engine's events from waiting.
+# The fraction of the instance's link that weights may use while its engine serves requests. A
+# version takes two seconds at the full link rate and must be in force within eight, of which
+# switching takes two or three. The rest of the link is kept free so that the engine's events are
+# not delayed.
 WEIGHTS_FRACTION = 0.85
 
 
 class DeployedSidecar:
-    """Owns the tasks beside one engine."""
+    """Owns the servers and background tasks beside one engine."""
 
     def __init__(self, deployment: Deployment, log: EventLog) -> None:
         self._deployment = deployment
@@ -69,47 +70,47 @@
         )
         self._incarnation = make_incarnation()
         self._sequence = 0
-        self._told: tuple[object, ...] = ()
-        self._loads = LoadService(deployment, self.status)
-        self._controller.on_report = self._take_report
+        self._last_reported: tuple[object, ...] = ()
+        self._load_service = LoadService(deployment, self.status)
+        self._controller.on_report = self._handle_report
         log.metrics.add_gauge(
             "weights_inbound_bytes_per_second",
             "How fast weights may come here beside requests, by what came through lately.",
             lambda: self._distributor.asker.pace.rate,
         )
-        self._loads.on_relays = self._listed.set_relays
-        self._loads.on_entry = self._record_limits
-        self._loads.on_entry_gone = self._controller.retirement.forget
+        self._load_service.on_relays = self._listed.set_relays
+        self._load_service.on_entry = self._record_limits
+        self._load_service.on_entry_disconnected = self._controller.retirement.forget
 
     async def start(self) -> None:
-        """Listens and starts the background tasks."""
+        """Starts the servers and the background tasks."""
         host, first = self._deployment.host, self._deployment.first_port
         self._listen(make_chunk_routes(self._distributor, self._readings), CHUNK_PORT_OFFSET)
         self._listen(make_routes(self._log), METRICS_PORT_OFFSET)
-        await self._loads.start()
+        await self._load_service.start()
         self._tasks.start("engine", self._controller.watch())
         self._tasks.start("listed", self._listed.run())
-        self._tasks.start("members", self._listed.keep_members(self._lacks_weights))
+        self._tasks.start("members", self._listed.keep_members(self._needs_weights))
         self._tasks.start("versions", self._controller.run())
         self._log.write(
             Event.DAEMON_STARTED, role="sidecar", port=first + CHUNK_PORT_OFFSET, host=host
         )
 
     def reload(self, deployment: Deployment) -> list[str]:
-        """Takes new settings; none of a sidecar's may change while it runs."""
+        """Ignores changed settings: none of a sidecar's settings can change while it runs."""
         return []
 
     async def stop(self) -> None:
-        """Ends the tasks; the engine beside goes on with what it has."""
+        """Stops the servers and tasks; the engine keeps running with the weights that it has."""
         self._log.write(Event.DAEMON_LEAVING)
         for server in self._servers:
             server.stop()
         await self._tasks.cancel_all()
-        await self._loads.stop()
+        await self._load_service.stop()
         self._log.write(Event.DAEMON_STOPPED)
 
     def status(self) -> Status:
-        """Returns this daemon's own account of itself and of its engine."""
+        """Returns the current status of this daemon and its engine."""
         self._sequence += 1
         report = self._controller.report or EngineReport()
         own = self._deployment
@@ -134,17 +135,17 @@
 
     def _load(self) -> Load:
         report = self._controller.report
-        # An engine that does not answer has no slots, so that entries leave it out.
+        # An engine that does not answer is reported with no slots, so that entries skip it.
         if report is None:
             return Load(slots=0)
         return Load(report.running, report.queued, pace=report.pace)
 
-    def _take_report(self) -> None:
+    def _handle_report(self) -> None:
         report = self._controller.report
-        told = (self._load(), report and report.weights, self._controller.switching)
-        if told != self._told:
-            self._told = told
-            self._loads.wake()
+        state = (self._load(), report and report.weights, self._controller.switching)
+        if state != self._last_reported:
+            self._last_reported = state
+            self._load_service.wake()
 
     def _record_limits(self, entry: Status) -> None:
         self._controller.retirement.record(
@@ -155,7 +156,7 @@
         report = self._controller.report
         return report.running + report.queued if report is not None else 0
 
-    def _lacks_weights(self) -> bool:
+    def _needs_weights(self) -> bool:
         report = self._controller.report
         return report is not None and (not report.weights or report.weights < self._listed.wanted)
 
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/idempotent_calls.py
@@ -1,4 +1,4 @@
-"""Runs the calls that carry keys, each at most once, and answers every copy of a call."""
+"""Runs calls with idempotency keys, each at most once, and answers all copies of a call."""
 
 import asyncio
 import collections.abc
@@ -17,11 +17,11 @@
 
 Work = collections.abc.Callable[[], collections.abc.Awaitable[ServiceReply]]
 
-CONFLICT_MESSAGE = "the key came with another request before; that one may have run"
+CONFLICT_MESSAGE = "the key was used with a different request before, which may have run"
 
 
-class KeyedCalls:
-    """Joins the ledger, which decides, with the tasks that run calls."""
+class IdempotentCalls:
+    """Runs each call as the ledger decides, in a task that all copies of the call share."""
 
     __slots__ = ("_ledger", "_tasks", "_log", "_started", "_running")
 
@@ -34,20 +34,20 @@
 
     @property
     def uptime(self) -> float:
-        """Seconds since this incarnation started; the time that keys are written in."""
-        # The event loop's clock stands still while the instance is suspended. By it a charge
-        # that waited in the socket would start long after its caller gave up, and the keys that
-        # entries issue next would seem to come from the future: each such charge ended as
-        # "unknown" for up to a minute, though none had run.
+        """Seconds since this incarnation started; the times in keys are uptimes."""
+        # The event loop's clock stops while the instance is suspended. With that clock, a call
+        # that waited in the socket would start long after its caller gave up. New keys from
+        # entries would appear to be issued in the future, and their calls would end as
+        # "unknown" for up to a minute although none had run.
         return awake_seconds() - self._started
 
     @property
-    def remembered(self) -> int:
-        """How many keys are remembered."""
+    def key_count(self) -> int:
+        """The number of keys in the ledger."""
         return self._ledger.size
 
-    def leave(self) -> None:
-        """Refuses from now on every call that has not started."""
+    def refuse_new_calls(self) -> None:
+        """Refuses from now on all calls that have not started."""
         self._ledger.refuse_new_keys()
 
     async def run(
@@ -58,41 +58,42 @@
         start_before: float,
         work: Work,
     ) -> ServiceReply:
-        """Runs a call, or waits for or returns the answer of an earlier copy.
+        """Runs a call, or returns the answer to an earlier copy, once there is one.
 
         Args:
-          start_before: The uptime after which the call must not start any more.
+          start_before: The uptime after which the call must not start.
+          work: Sends the call to the service.
 
         Raises:
-          CodedError: No whole answer; the outcome is proved.
+          CodedError: There is no complete answer. The error's outcome is reliable.
         """
         verdict = self._ledger.begin(workspace, key, fingerprint, self.uptime, start_before)
-        identity = record_id(workspace, key)
+        call_id = record_id(workspace, key)
         if verdict.verdict is Verdict.RUN:
             self._log.write(Event.CALL_STARTED, workspace=workspace, key=str(key))
-            # A task of its own: the run and its record must outlive the connection that the
-            # first copy came on, or a resend would find neither an answer nor a run.
+            # A separate task: the run and its record must outlive the connection of the first
+            # copy; otherwise a retry would find neither an answer nor a run to wait for.
             task = self._tasks.start("keyed call", self._run(workspace, key, work))
-            self._running[identity] = task
-            task.add_done_callback(lambda _: self._running.pop(identity, None))
+            self._running[call_id] = task
+            task.add_done_callback(lambda _: self._running.pop(call_id, None))
             return await self._wait(task)
         if verdict.verdict is Verdict.JOIN:
             self._log.write(Event.CALL_JOINED, workspace=workspace, key=str(key))
-            task = self._running.get(identity)
+            task = self._running.get(call_id)
             if task is None:
-                raise CodedError("service_lost", "the run was ended", 504, Outcome.UNKNOWN)
+                raise CodedError("service_lost", "the run was cancelled", 504, Outcome.UNKNOWN)
             return mark_replayed(await self._wait(task))
         if verdict.verdict is Verdict.REPLAY:
             self._log.write(Event.CALL_REPLAYED, workspace=workspace, key=str(key))
-            return replay(verdict.answer)
+            return make_replayed_reply(verdict.answer)
         event = Event.CALL_NOT_RUN if verdict.verdict is Verdict.NOT_RUN else Event.CALL_UNKNOWN
         self._log.write(event, workspace=workspace, key=str(key), code=verdict.code)
-        raise refusal(verdict)
+        raise make_error(verdict)
 
     async def _wait(self, task: asyncio.Task[ServiceReply]) -> ServiceReply:
-        # Shielded, so that a copy whose entry gave up does not end the run for the others.
-        # The error is a new one for each waiter; one exception object raised at two places
-        # would show each the other's traceback.
+        # Shielded, so that a copy whose entry disconnected does not cancel the run for the
+        # others. Each waiter gets a new error: one exception object raised in several tasks
+        # would mix up their tracebacks.
         try:
             return await asyncio.shield(task)
         except CodedError as error:
@@ -116,28 +117,28 @@
 
 
 def mark_replayed(reply: ServiceReply) -> ServiceReply:
-    """Returns a reply marked as an earlier copy's."""
+    """Returns a reply marked as a replay of the answer to an earlier copy."""
     return ServiceReply(reply.status, reply.content_type, reply.body, replayed=True)
 
 
-def replay(answer: StoredAnswer) -> ServiceReply:
-    """Returns a kept answer.
+def make_replayed_reply(answer: StoredAnswer) -> ServiceReply:
+    """Returns a stored answer as a reply.
 
     Raises:
-      CodedError: The call ran, and its answer's body was evicted; outcome DONE.
+      CodedError: The call ran, but the body of its answer was evicted. The outcome is DONE.
     """
     if answer.body is None:
-        message = f"the call ran and was answered with status {answer.status}"
+        message = f"the call ran with status {answer.status}; its answer is no longer stored"
         raise CodedError("answer_forgotten", message, 410, Outcome.DONE)
     return ServiceReply(answer.status, answer.content_type, answer.body, replayed=True)
 
 
-def refusal(verdict: IdempotencyVerdict) -> CodedError:
-    """Returns the error that tells a verdict."""
+def make_error(verdict: IdempotencyVerdict) -> CodedError:
+    """Returns the error for a verdict by which the call does not run."""
     if verdict.verdict is Verdict.NOT_RUN:
         return CodedError(verdict.code, "not run, and never will be with this key", 503)
     if verdict.verdict is Verdict.CONFLICT:
-        # The other request may be this one, spelt differently. "Not run" would invite a
-        # caller to charge again.
+        # The other request may be this one in a different encoding. With "not run", the caller
+        # might charge a second time.
         return CodedError(verdict.code, CONFLICT_MESSAGE, 422, Outcome.UNKNOWN)
-    return CodedError(verdict.code, "nobody can tell any more", 504, Outcome.UNKNOWN)
+    return CodedError(verdict.code, "the outcome is no longer known", 504, Outcome.UNKNOWN)
--- a/wasabidrum/sidecar/load_service.py
+++ b/wasabidrum/sidecar/load_service.py
@@ -1,4 +1,4 @@
-"""Tells entries what the engine beside this sidecar is doing, as soon as it changes."""
+"""Pushes the load of this sidecar's engine to the watching entries as soon as it changes."""
 
 import collections.abc
 
@@ -22,44 +22,45 @@
 
 
 class LoadService:
-    """Owns the peer port of a sidecar and the streams of those who watch it.
+    """Owns the peer port of a sidecar and the streams of the entries that watch it.
 
     Attributes:
-      on_relays: Called with the accounts of the entries that hold weights, as they come and go.
-      on_entry: Called with an entry's account as it changes.
-      on_entry_gone: Called with the name of an entry whose stream has ended.
+      on_relays: Called with the statuses of the connected entries that relay weights, on each
+        push and disconnection of such an entry.
+      on_entry: Called with each full status of an entry.
+      on_entry_disconnected: Called with the name of an entry whose last stream has ended.
     """
 
     def __init__(
-        self, deployment: Deployment, account: collections.abc.Callable[[], Status]
+        self, deployment: Deployment, own_status: collections.abc.Callable[[], Status]
     ) -> None:
         self._deployment = deployment
-        self._account = account
+        self._own_status = own_status
         self._inbound: set[PeerLink] = set()
         self._server: server.Server | None = None
         self._relays: dict[PeerLink, Status] = {}
         self.on_relays: collections.abc.Callable[[list[Status]], None] = ignore_relays
         self.on_entry: collections.abc.Callable[[Status], None] = ignore_entry
-        self.on_entry_gone: collections.abc.Callable[[str], None] = ignore_name
+        self.on_entry_disconnected: collections.abc.Callable[[str], None] = ignore_disconnection
 
     @property
     def list_as_of(self) -> float:
-        """See GossipOwner; a watcher that asks for it is told of nothing."""
+        """See GossipOwner; a sidecar has no instance list here."""
         return 0.0
 
     @property
     def list_digest(self) -> str:
-        """See GossipOwner; a watcher that asks for it is told of nothing."""
+        """See GossipOwner; a sidecar has no instance list here."""
         return ""
 
     async def start(self) -> None:
-        """Listens for entries."""
+        """Starts the gRPC server."""
         sockets = netutil.bind_sockets(self._deployment.first_port, self._deployment.host)
         self._server = server.Server([PeerService(self)], codec=CODEC)
         await self._server.start(sock=sockets[0])
 
     async def stop(self) -> None:
-        """Ends every stream."""
+        """Closes all streams and the server."""
         if self._server is None:
             return
         self._server.close()
@@ -68,24 +69,24 @@
         await self._server.wait_closed()
 
     def wake(self) -> None:
-        """Has every stream tell at once what has changed."""
+        """Makes every stream push immediately."""
         for link in self._inbound:
             link.wake()
 
     def status(self) -> Status:
         """See LinkOwner."""
-        return self._account()
+        return self._own_status()
 
     def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
-        """See GossipOwner; a watcher that asks for it is told of nothing."""
+        """See GossipOwner; a sidecar has no member updates here."""
         return cursor, ()
 
     def take_push(self, link: PeerLink, push: Push) -> None:
-        """See LinkOwner; entries tell who they are, and where they hold weights for others."""
+        """See LinkOwner; an entry pushes its status, with an HTTP port if it relays weights."""
         status = link.whole_status(push)
         if status is None or status.role is not InstanceRole.ENTRY:
             return
-        # Seconds in a status count from its coming; one that was not sent again is old.
+        # Durations in a status count from its arrival, so one that was not sent anew is outdated.
         if push.status is not None:
             self.on_entry(status)
         if status.http_port:
@@ -100,26 +101,26 @@
         """See PeerServiceOwner."""
         self._inbound.discard(link)
         if all(other.name != link.name for other in self._inbound):
-            self.on_entry_gone(link.name)
+            self.on_entry_disconnected(link.name)
         if self._relays.pop(link, None) is not None:
             self.on_relays(list(self._relays.values()))
 
     def reply_configuration(self, request: FetchConfiguration) -> ConfigurationReply:
-        """See PeerServiceOwner; a sidecar holds no configuration for others here."""
+        """See PeerServiceOwner; a sidecar has no configuration for peers here."""
         return ConfigurationReply(0, "")
 
     def reply_list(self, request: FetchList) -> ListReply:
-        """See PeerServiceOwner; as above."""
+        """See PeerServiceOwner; a sidecar has no instance list here."""
         return ListReply(0.0, "")
 
 
 def ignore_entry(status: Status) -> None:
-    """Stands where nobody asked to be told of entries."""
+    """The default on_entry callback; does nothing."""
 
 
-def ignore_name(name: str) -> None:
-    """Stands where nobody asked to be told of entries that are gone."""
+def ignore_disconnection(name: str) -> None:
+    """The default on_entry_disconnected callback; does nothing."""
 
 
 def ignore_relays(statuses: list[Status]) -> None:
-    """Stands where nobody asked to be told of relays."""
+    """The default on_relays callback; does nothing."""
--- a/wasabidrum/sidecar/service_attempt.py
+++ b/wasabidrum/sidecar/service_attempt.py
@@ -1,4 +1,4 @@
-"""One call to a plain service as it arrives at a sidecar, checked and typed."""
+"""A call to a plain service as a sidecar receives it, validated and typed."""
 
 import math
 
@@ -11,17 +11,20 @@
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
 
-LONGEST_PATIENCE_SECONDS = 3600.0
+MAX_PATIENCE_SECONDS = 3600.0
 
 
 class ServiceAttempt(msgspec.Struct, frozen=True):
-    """What an entry asks a sidecar to send to its service.
+    """A call that an entry sends to a sidecar, for its service.
 
     Attributes:
-      key: What names the only incarnation that may run the call; None for a read.
-      patience: Seconds that the entry waits, counted from when this copy was read.
-      start_before: The sidecar's uptime after which the call must not start; zero where the
-        entry did not know that time, so that only an earlier copy's outcome is told.
+      key: The idempotency key, which names the only incarnation that may run the call; None for
+        a call that may be repeated.
+      fingerprint: The digest of the call.
+      patience: Seconds that the entry waits for the answer, from when this copy was parsed.
+      start_before: The sidecar's uptime after which the call must not start. Zero if the entry
+        did not know that time: the call then never starts, and only the outcome of an earlier
+        copy is returned.
     """
 
     attempt_id: str
@@ -36,11 +39,11 @@
     start_before: float
 
 
-def read_seconds(text: str, factor: float) -> float:
-    """Returns a positive number of seconds written in a header.
+def parse_seconds(text: str, factor: float) -> float:
+    """Parses a header's number and multiplies it by the factor, which gives seconds.
 
     Raises:
-      ValueError: It is not such a number.
+      ValueError: It is not a finite number of at least zero.
     """
     seconds = float(text) * factor
     if not 0.0 <= seconds < math.inf:
@@ -48,34 +51,34 @@
     return seconds
 
 
-def read_attempt(asked: httputil.HTTPHeaders, body: bytes) -> ServiceAttempt:
-    """Reads and checks an attempt.
+def parse_attempt(request_headers: httputil.HTTPHeaders, body: bytes) -> ServiceAttempt:
+    """Parses and validates an attempt.
 
     Raises:
-      CodedError: A part is missing, or a link changed it. The outcome is UNKNOWN, as the
-        same call may have arrived undamaged by another copy.
+      CodedError: A part is missing, or was corrupted on the way. The outcome is UNKNOWN, as
+        another copy of the same call may have arrived intact and run.
     """
     try:
-        key_text = asked.get(headers.CALL_KEY, "")
+        key_text = request_headers.get(headers.CALL_KEY, "")
         call = (
-            asked[headers.WORKSPACE],
+            request_headers[headers.WORKSPACE],
             key_text,
-            asked[headers.FORWARDED_METHOD],
-            asked[headers.FORWARDED_PATH],
-            asked.get("Content-Type", ""),
+            request_headers[headers.FORWARDED_METHOD],
+            request_headers[headers.FORWARDED_PATH],
+            request_headers.get("Content-Type", ""),
             body,
         )
         fingerprint = digest_call(*call)
-        if asked[headers.CALL_DIGEST] != fingerprint.hex():
+        if request_headers[headers.CALL_DIGEST] != fingerprint.hex():
             raise ValueError("the digest does not match")
         key = parse_key(key_text)
-        if key is None and (key_text or asked.get(headers.IDEMPOTENT) != "1"):
-            raise ValueError("a call that may not be repeated has no valid key")
-        patience = read_seconds(asked[headers.DEADLINE_MILLISECONDS], 0.001)
-        # Nobody can tell for how long a call without this time has waited in the socket.
-        start_before = read_seconds(asked.get(headers.START_BEFORE, "0"), 1.0)
+        if key is None and (key_text or request_headers.get(headers.IDEMPOTENT) != "1"):
+            raise ValueError("a call that is not idempotent has no valid key")
+        patience = parse_seconds(request_headers[headers.DEADLINE_MILLISECONDS], 0.001)
+        # Without this time, the sidecar cannot know how long the call waited in the socket.
+        start_before = parse_seconds(request_headers.get(headers.START_BEFORE, "0"), 1.0)
         return ServiceAttempt(
-            attempt_id=asked[headers.ATTEMPT_ID],
+            attempt_id=request_headers[headers.ATTEMPT_ID],
             workspace=call[0],
             method=call[2],
             path=call[3],
@@ -83,7 +86,7 @@
             body=body,
             key=key,
             fingerprint=fingerprint,
-            patience=min(patience, LONGEST_PATIENCE_SECONDS),
+            patience=min(patience, MAX_PATIENCE_SECONDS),
             start_before=start_before,
         )
     except (KeyError, ValueError) as error:
--- a/wasabidrum/sidecar/service_attempt_test.py
+++ b/wasabidrum/sidecar/service_attempt_test.py
@@ -1,4 +1,4 @@
-"""Tests of how a sidecar reads a call: nothing damaged is ever run."""
+"""Tests of how a sidecar parses calls; corrupted ones must not run."""
 
 import unittest
 
@@ -13,13 +13,13 @@
 from ..decisions.idempotency_verdict import Verdict
 from ..outcomes.call_digest import digest_call
 from ..wire import headers
-from .service_attempt import read_attempt
+from .service_attempt import parse_attempt
 
 KEY = str(make_key("tally-1", "0193c-aa", 1.0, 60.0))
 
 
 def make_headers() -> dict[str, str]:
-    """Returns the headers of a good call with the body b"{}"."""
+    """Returns the headers of a valid call with the body b"{}"."""
     call = ("stationers", KEY, "POST", "/charge", "application/json", b"{}")
     return {
         headers.WORKSPACE: "stationers",
@@ -34,10 +34,10 @@
 
 
 class ServiceAttemptTest(unittest.TestCase):
-    """A call is read whole and undamaged, or refused as unknown."""
+    """A call is either parsed as it was sent, or refused with the outcome UNKNOWN."""
 
     def test_reads_a_good_call(self) -> None:
-        attempt = read_attempt(httputil.HTTPHeaders(make_headers()), b"{}")
+        attempt = parse_attempt(httputil.HTTPHeaders(make_headers()), b"{}")
         self.assertEqual((str(attempt.key), attempt.path, attempt.patience), (KEY, "/charge", 5.0))
 
     @hypothesis.settings(derandomize=True, max_examples=400)
@@ -56,7 +56,7 @@
             body = value.encode()
         free = (headers.ATTEMPT_ID, headers.DEADLINE_MILLISECONDS, headers.START_BEFORE)
         try:
-            attempt = read_attempt(httputil.HTTPHeaders(given), body)
+            attempt = parse_attempt(httputil.HTTPHeaders(given), body)
         except CodedError as error:
             self.assertIs(error.outcome, Outcome.UNKNOWN)
             return
@@ -64,10 +64,10 @@
         self.assertEqual((str(attempt.key), attempt.body), (KEY, b"{}"))
 
     def test_a_call_without_a_deadline_in_the_sidecars_time_does_not_start(self) -> None:
-        """An entry cannot tell the deadline in the sidecar's time, and the call waits in a
-        paused sidecar's socket. Nobody can tell for how long: started, it may charge a caller
-        who was told "unknown" and has left."""
-        attempt = read_attempt(httputil.HTTPHeaders(make_headers()), b"{}")
+        """An entry does not know the sidecar's uptime, so the call has no deadline in it. The
+        call may have waited in a paused sidecar's socket for any time. If it started, it could
+        charge a caller that got "unknown" and has disconnected."""
+        attempt = parse_attempt(httputil.HTTPHeaders(make_headers()), b"{}")
         self.assertEqual(attempt.start_before, 0.0)
         verdict = make_ledger("0193c-aa").begin(
             attempt.workspace, attempt.key, attempt.fingerprint, 2.0, attempt.start_before
@@ -79,6 +79,6 @@
         given = make_headers() | {headers.WORKSPACE: "w", "Content-Type": ""}
         given |= {headers.CALL_DIGEST: digest_call(*call).hex(), headers.CALL_KEY: ""}
         with self.assertRaises(CodedError):
-            read_attempt(httputil.HTTPHeaders(given), b"")
+            parse_attempt(httputil.HTTPHeaders(given), b"")
         given[headers.IDEMPOTENT] = "1"
-        self.assertIsNone(read_attempt(httputil.HTTPHeaders(given), b"").key)
+        self.assertIsNone(parse_attempt(httputil.HTTPHeaders(given), b"").key)
