--- a/wasabidrum/peers/configuration_follower_test.py
+++ b/wasabidrum/peers/configuration_follower_test.py
@@ -249,7 +249,7 @@
 
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     @hypothesis.given(STEPS)
-    def test_revisions_never_decrease_and_converge(self, steps: list[Step]) -> None:
+    def test_never_down_and_converging(self, steps: list[Step]) -> None:
         """Reads, stale replies, gossip, restarts and partitions happen in any order. No daemon
         may revert to an older revision, and connected daemons must converge on one."""
 
--- a/wasabidrum/sidecar/idempotent_calls.py
+++ b/wasabidrum/sidecar/idempotent_calls.py
@@ -128,7 +128,7 @@
       CodedError: The call ran, but the body of its answer was evicted. The outcome is DONE.
     """
     if answer.body is None:
-        message = f"the call ran with status {answer.status}; its answer is no longer stored"
+        message = f"the stored answer was evicted; the call ran with status {answer.status}"
         raise CodedError("answer_forgotten", message, 410, Outcome.DONE)
     return ServiceReply(answer.status, answer.content_type, answer.body, replayed=True)
 
