--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -53,7 +53,7 @@
         """See LinkOwner."""
         return cursor, ()
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner; has the next push sent at once."""
         link.whole_status(push)
         self.received += 1
--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -52,9 +52,9 @@
         """See LinkOwner."""
         return self._node.status()
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
-        self._node.take_push(link, push)
+        self._node.handle_push(link, push)
         if link.status is not None and self._table.record_status(link.status):
             self._log.write(Event.ENDPOINT_BACK, endpoint=link.name)
 
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -62,7 +62,7 @@
             placing_limits=self._state.placing_limits(),
         )
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
         status = link.whole_status(push)
         if status is None:
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -31,7 +31,7 @@
     def status(self) -> Status:
         """Returns this process's current status, with a new sequence number."""
 
-    def take_push(self, link: "PeerLink", push: Push) -> None:
+    def handle_push(self, link: "PeerLink", push: Push) -> None:
         """Handles a message received on a link."""
 
 
@@ -177,7 +177,7 @@
         """
         while (push := await stream.recv_message()) is not None:
             self.last_received_at = asyncio.get_running_loop().time()
-            self._owner.take_push(self, push)
+            self._owner.handle_push(self, push)
 
     async def run(self, stream: MessageStream, pushes: bool) -> None:
         """Receives and sends until either direction ends.
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -171,7 +171,7 @@
         """See PeerServiceOwner."""
         return self.member_list.roster.reply(request)
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
         now = asyncio.get_running_loop().time()
         self._handle_pause(now)
--- a/wasabidrum/peers/peer_service.py
+++ b/wasabidrum/peers/peer_service.py
@@ -47,7 +47,7 @@
         link = PeerLink(first.status.name, first.gossip, self._owner)
         self._owner.add_inbound(link)
         try:
-            self._owner.take_push(link, first)
+            self._owner.handle_push(link, first)
             await link.run(stream, pushes=True)
         finally:
             self._owner.remove_inbound(link)
--- a/wasabidrum/sidecar/load_service.py
+++ b/wasabidrum/sidecar/load_service.py
@@ -81,7 +81,7 @@
         """See GossipOwner; a sidecar has no member updates here."""
         return cursor, ()
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner; an entry pushes its status, with an HTTP port if it relays weights."""
         status = link.whole_status(push)
         if status is None or status.role is not InstanceRole.ENTRY:
