--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -49,7 +49,7 @@
         load = Load(self._sequence % 8, 0, 8, 100.0)
         return Status("a", InstanceRole.SIDECAR, "1", self._sequence, load=load)
 
-    def news_after(self, cursor: int, limit: int) -> tuple[int, tuple]:
+    def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple]:
         """See LinkOwner."""
         return cursor, ()
 
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -46,7 +46,7 @@
     def list_digest(self) -> str:
         """The digest of that list."""
 
-    def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
+    def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
         """Returns the next cursor, and at most limit member updates from the cursor on."""
 
 
@@ -113,7 +113,7 @@
         news: tuple[MemberUpdate, ...] = ()
         digest = ""
         if self.gossip:
-            self._cursor, news = self._owner.news_after(self._cursor, MAX_UPDATES_PER_PUSH)
+            self._cursor, news = self._owner.updates_after(self._cursor, MAX_UPDATES_PER_PUSH)
             digest = self._owner.list_digest
             digest = "" if digest == self._sent_list else digest
             self._sent_list = digest or self._sent_list
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -139,7 +139,7 @@
         """See LinkOwner."""
         return self._own_status()
 
-    def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
+    def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
         """See GossipOwner."""
         return self._members.news.after(cursor, limit)
 
--- a/wasabidrum/sidecar/load_service.py
+++ b/wasabidrum/sidecar/load_service.py
@@ -77,7 +77,7 @@
         """See LinkOwner."""
         return self._own_status()
 
-    def news_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
+    def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
         """See GossipOwner; a sidecar has no member updates here."""
         return cursor, ()
 
