--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -55,7 +55,7 @@
 
     def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner; has the next push sent at once."""
-        link.whole_status(push)
+        link.merge_push(push)
         self.received += 1
         if self._link is not None:
             self._link.wake()
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -64,7 +64,7 @@
 
     def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
-        status = link.whole_status(push)
+        status = link.merge_push(push)
         if status is None:
             return
         if link.name not in self._connected:
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -130,7 +130,7 @@
             config_digest=status.config_digest if changed else "",
         )
 
-    def whole_status(self, push: Push) -> Status | None:
+    def merge_push(self, push: Push) -> Status | None:
         """Merges a push into the other end's last status and returns the result.
 
         Returns:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -175,7 +175,7 @@
         """See LinkOwner."""
         now = asyncio.get_running_loop().time()
         self._handle_pause(now)
-        status = link.whole_status(push)
+        status = link.merge_push(push)
         if status is None:
             return
         self._members.record_push(link.name, push, status, now)
--- a/wasabidrum/sidecar/load_service.py
+++ b/wasabidrum/sidecar/load_service.py
@@ -83,7 +83,7 @@
 
     def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner; an entry pushes its status, with an HTTP port if it relays weights."""
-        status = link.whole_status(push)
+        status = link.merge_push(push)
         if status is None or status.role is not InstanceRole.ENTRY:
             return
         # Durations in a status count from its arrival, so one that was not sent anew is outdated.
