--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -120,7 +120,7 @@
     and beyond it neither streams nor messages grow.
     """
     largest = runs[-1]["idle"]["messages_per_second"]["entry"]
-    beats = 1.0 / peer_link.STATUS_BEAT_SECONDS
+    beats = 1.0 / peer_link.STATUS_HEARTBEAT_SECONDS
     gossip = max(0.0, largest - endpoint_subset.SUBSET_SIZE * beats)
     module = "entry/endpoint_watcher.py, decisions/endpoint_subset.py"
     figures = []
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -11,7 +11,7 @@
 from .peer_messages import Push
 
 GOSSIP_HEARTBEAT_SECONDS = 1.0
-STATUS_BEAT_SECONDS = 0.75
+STATUS_HEARTBEAT_SECONDS = 0.75
 MAX_UPDATES_PER_PUSH = 32
 
 
@@ -153,7 +153,7 @@
 
     async def push_periodically(self, stream: MessageStream) -> None:
         """Sends a push at a fixed interval, and immediately when woken."""
-        interval = GOSSIP_HEARTBEAT_SECONDS if self.gossip else STATUS_BEAT_SECONDS
+        interval = GOSSIP_HEARTBEAT_SECONDS if self.gossip else STATUS_HEARTBEAT_SECONDS
         while True:
             self._woken = False
             push = self.next_push()
