--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -64,7 +64,7 @@
         try:
             while True:
                 now = loop.time()
-                self._links.end_silent(now)
+                self._links.close_silent(now)
                 state = (self._node.table.version, self._follower.revision)
                 if (
                     state != self._chosen_for_state
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -77,7 +77,7 @@
         loop = asyncio.get_running_loop()
         try:
             while True:
-                self._links.end_silent(loop.time())
+                self._links.close_silent(loop.time())
                 self._push_changed_limits()
                 versions = (self._state.endpoints.version, self._state.version)
                 if versions != self._linked_for:
--- a/wasabidrum/peers/outbound_links.py
+++ b/wasabidrum/peers/outbound_links.py
@@ -86,7 +86,7 @@
                 outbound = self._links[name] = OutboundLink(instance)
                 outbound.task = asyncio.ensure_future(self._maintain(outbound))
 
-    def end_silent(self, now: float) -> None:
+    def close_silent(self, now: float) -> None:
         """Closes streams that received nothing for too long, as a hung peer does not close them."""
         for outbound in self._links.values():
             link = outbound.link
@@ -138,7 +138,7 @@
 
     async def _watch_until_lost(self, instance: Instance, link: PeerLink) -> None:
         # Where the network drops packets, connecting itself may hang. There is no link message
-        # yet by which end_silent could tell silence, so the first one has a timeout here.
+        # yet by which close_silent could tell silence, so the first one has a timeout here.
         watching = asyncio.ensure_future(peer_client.watch(instance.host, instance.peer_port, link))
         try:
             await asyncio.wait((watching,), timeout=self._silence_seconds)
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -247,7 +247,7 @@
     def _tick(self) -> None:
         now = asyncio.get_running_loop().time()
         self._handle_pause(now)
-        self._outbound.end_silent(now)
+        self._outbound.close_silent(now)
         for link in list(self._inbound):
             if link.gossip and now - link.last_received_at > GOSSIP_SILENCE_SECONDS:
                 link.end()
