--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -104,7 +104,7 @@
         return record.instance
 
     def _exclude_pause(self, seconds: float) -> None:
-        self._links.forgive(seconds)
+        self._links.exclude_pause(seconds)
         self._table.exclude_pause(seconds)
 
 
--- a/wasabidrum/peers/outbound_links.py
+++ b/wasabidrum/peers/outbound_links.py
@@ -93,7 +93,7 @@
             if link is not None and now - link.last_received_at > self._silence_seconds:
                 link.end()
 
-    def forgive(self, seconds: float) -> None:
+    def exclude_pause(self, seconds: float) -> None:
         """Excludes a pause of this process from the silence of its streams."""
         for outbound in self._links.values():
             if outbound.link is not None:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -288,7 +288,7 @@
         # would be considered alive for that long.
         seconds = min(paused, counted)
         self.table.extend_time_limits(seconds)
-        self._outbound.forgive(seconds)
+        self._outbound.exclude_pause(seconds)
         for link in self._inbound:
             link.last_received_at += seconds
         for call in self.on_pause:
