--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -90,7 +90,7 @@
             picked = endpoint_subset.choose_subset(me, [*entries, me], endpoints, unusable, size)
             chosen |= {endpoint.name: endpoint for endpoint in picked}
         self._table.update_instances(tuple(chosen.values()))
-        self._links.keep([e for e in chosen.values() if e.peer_port], now)
+        self._links.set_wanted([e for e in chosen.values() if e.peer_port], now)
 
     def _record_loss(self, name: str, refused: bool) -> None:
         if self._table.record_loss(name, refused):
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -82,7 +82,7 @@
                 versions = (self._state.endpoints.version, self._state.version)
                 if versions != self._linked_for:
                     self._linked_for = versions
-                    self._links.keep(self._sidecars_to_watch(), loop.time())
+                    self._links.set_wanted(self._sidecars_to_watch(), loop.time())
                 await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
         finally:
             await self._links.close_all()
--- a/wasabidrum/peers/outbound_links.py
+++ b/wasabidrum/peers/outbound_links.py
@@ -66,7 +66,7 @@
         links = (outbound.link for outbound in self._links.values())
         return [link for link in links if link is not None and link.status is not None]
 
-    def keep(self, wanted: list[Instance], now: float) -> None:
+    def set_wanted(self, wanted: list[Instance], now: float) -> None:
         """Opens missing streams to wanted instances, and closes those unwanted for a while."""
         by_name = {instance.name: instance for instance in wanted}
         for name, outbound in list(self._links.items()):
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -272,7 +272,7 @@
 
     def _make_plan(self, now: float) -> None:
         wanted = self._plans.make(instance_from_status(self._own_status()), now)
-        self._outbound.keep(wanted, now)
+        self._outbound.set_wanted(wanted, now)
 
     def _handle_pause(self, now: float) -> None:
         self._pause_detector.observe(awake_seconds())
