--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -95,7 +95,7 @@
     def _record_loss(self, name: str, refused: bool) -> None:
         if self._table.record_loss(name, refused):
             self._log.write(Event.ENDPOINT_OUT, endpoint=name, refused=refused)
-        self._node.lose(name, refused)
+        self._node.suspect(name, refused)
 
     def _find_member(self, name: str) -> Instance | None:
         record = self._node.table.get(name)
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -67,7 +67,7 @@
         self._pause_detector = PauseDetector(awake_seconds())
         self._handled_pause_seconds = 0.0
         self._inbound: set[PeerLink] = set()
-        self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.lose)
+        self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.suspect)
         self._fetcher = ClaimFetcher(follower)
         self._server: server.Server | None = None
         self._last_pushed: tuple[object, ...] = ()
@@ -159,7 +159,7 @@
         # A watcher also closes its link when the plan makes this process no longer its parent;
         # that is no sign of a failure.
         if link.gossip and self._settings.name in self.plan.parents(link.name):
-            self.lose(link.name, False)
+            self.suspect(link.name, False)
 
     def reply_configuration(self, request: FetchConfiguration) -> ConfigurationReply:
         """See PeerServiceOwner."""
@@ -219,7 +219,7 @@
         if status.refused_revision > max(self._follower.revision, self._follower.refused_revision):
             self._follower.refuse(status.refused_revision, "", status.refused_reason)
 
-    def lose(self, name: str, refused: bool) -> None:
+    def suspect(self, name: str, refused: bool) -> None:
         """Suspects a member whose link broke or went silent, or that refuses connections."""
         now = asyncio.get_running_loop().time()
         self._handle_pause(now)
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -61,9 +61,9 @@
         messages are of the clock that stood still. Shifted by the whole minute they would lie in
         the future, and the daemon would route callers to dead members for that long."""
         self.node.table.apply_status(Status(PEER, InstanceRole.SIDECAR, "j"), self.now())
-        self.node.lose(PEER, refused=False)
+        self.node.suspect(PEER, refused=False)
         with suspended_for(SUSPENDED_SECONDS):
-            self.node.lose(PEER, refused=False)
+            self.node.suspect(PEER, refused=False)
         self.assertEqual(len(self.pauses), 1)
         self.assertLess(self.pauses[0], 1.0)
         self.assertLessEqual(self.node.table.get(PEER).suspected_at, self.now())
@@ -75,7 +75,7 @@
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
             self.follower.on_confirmed(awake_seconds() - SUSPENDED_SECONDS)
-            self.node.lose(PEER, refused=False)
+            self.node.suspect(PEER, refused=False)
         self.assertEqual(len(self.pauses), 1)
         self.assertFalse(self.node.recently_verified)
 
