--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -27,7 +27,7 @@
     Meet,
     NamedVersion,
     PeerChange,
-    TellSuspects,
+    SuspectsReport,
     Told,
 )
 from ..peers.peer_client import CODEC
@@ -135,7 +135,7 @@
             unanswered=now - since if since is not None else 0.0,
         )
 
-    def handle_suspects(self, message: TellSuspects) -> None:
+    def handle_suspects(self, message: SuspectsReport) -> None:
         """See EntryServiceOwner."""
         now = asyncio.get_running_loop().time()
         for fingerprint in message.fingerprints:
@@ -156,7 +156,7 @@
         pending, self._pending_suspects = self._pending_suspects, {}
         addresses = self._roster.all_addresses(awake_seconds())
         for endpoint, fingerprints in pending.items():
-            message = TellSuspects(endpoint, tuple(fingerprints))
+            message = SuspectsReport(endpoint, tuple(fingerprints))
             await asyncio.gather(
                 *(
                     self._call(address, entry_messages.SUSPECTS_PATH, message, Told)
--- a/wasabidrum/gateway/entry_service.py
+++ b/wasabidrum/gateway/entry_service.py
@@ -5,7 +5,7 @@
 from grpclib import const, server
 
 from ..peers import entry_messages
-from ..peers.entry_messages import ChangesReply, FetchChanges, Meet, TellSuspects, Told
+from ..peers.entry_messages import ChangesReply, FetchChanges, Meet, SuspectsReport, Told
 
 
 class EntryServiceOwner(typing.Protocol):
@@ -17,7 +17,7 @@
     def handle_fetch_changes(self, message: FetchChanges) -> ChangesReply:
         """Returns the store's changes after a revision."""
 
-    def handle_suspects(self, message: TellSuspects) -> None:
+    def handle_suspects(self, message: SuspectsReport) -> None:
         """Records requests that were in progress at an endpoint when it died."""
 
 
@@ -50,5 +50,5 @@
             entry_messages.CHANGES_PATH: const.Handler(
                 self.changes, unary, FetchChanges, ChangesReply
             ),
-            entry_messages.SUSPECTS_PATH: const.Handler(self.suspects, unary, TellSuspects, Told),
+            entry_messages.SUSPECTS_PATH: const.Handler(self.suspects, unary, SuspectsReport, Told),
         }
--- a/wasabidrum/peers/entry_messages.py
+++ b/wasabidrum/peers/entry_messages.py
@@ -76,7 +76,7 @@
     unanswered: float = 0.0
 
 
-class TellSuspects(msgspec.Struct, frozen=True, array_like=True):
+class SuspectsReport(msgspec.Struct, frozen=True, array_like=True):
     """Reports the fingerprints of the requests that were in progress when an endpoint died."""
 
     endpoint: str
