--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -21,6 +21,7 @@
 from ..observe.event_log import EventLog
 from ..peers import entry_messages, peer_client
 from ..peers.entry_messages import (
+    Acknowledgement,
     ChangesReply,
     EntryAddress,
     FetchChanges,
@@ -28,7 +29,6 @@
     NamedVersion,
     PeerChange,
     SuspectsReport,
-    Told,
 )
 from ..peers.peer_client import CODEC
 from .entry_service import EntryService
@@ -159,7 +159,7 @@
             message = SuspectsReport(endpoint, tuple(fingerprints))
             await asyncio.gather(
                 *(
-                    self._call(address, entry_messages.SUSPECTS_PATH, message, Told)
+                    self._call(address, entry_messages.SUSPECTS_PATH, message, Acknowledgement)
                     for address in addresses
                 )
             )
--- a/wasabidrum/gateway/entry_service.py
+++ b/wasabidrum/gateway/entry_service.py
@@ -5,7 +5,7 @@
 from grpclib import const, server
 
 from ..peers import entry_messages
-from ..peers.entry_messages import ChangesReply, FetchChanges, Meet, SuspectsReport, Told
+from ..peers.entry_messages import Acknowledgement, ChangesReply, FetchChanges, Meet, SuspectsReport
 
 
 class EntryServiceOwner(typing.Protocol):
@@ -40,7 +40,7 @@
     async def suspects(self, stream: server.Stream) -> None:
         """Handles Suspects."""
         self._owner.handle_suspects(await stream.recv_message())
-        await stream.send_message(Told())
+        await stream.send_message(Acknowledgement())
 
     def __mapping__(self) -> dict[str, const.Handler]:
         """Returns the handlers by path, as grpclib requires."""
@@ -50,5 +50,7 @@
             entry_messages.CHANGES_PATH: const.Handler(
                 self.changes, unary, FetchChanges, ChangesReply
             ),
-            entry_messages.SUSPECTS_PATH: const.Handler(self.suspects, unary, SuspectsReport, Told),
+            entry_messages.SUSPECTS_PATH: const.Handler(
+                self.suspects, unary, SuspectsReport, Acknowledgement
+            ),
         }
--- a/wasabidrum/peers/entry_messages.py
+++ b/wasabidrum/peers/entry_messages.py
@@ -83,5 +83,5 @@
     fingerprints: tuple[str, ...]
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True):
+class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
     """Acknowledges a message."""
