--- a/tests/control_partition_test.py
+++ b/tests/control_partition_test.py
@@ -122,8 +122,8 @@
             1,
             self.node.peer_port,
             self.follower.revision,
-            self.follower.book.digest,
-            alarm=self.follower.book.alarm,
+            self.follower.tracker.digest,
+            alarm=self.follower.tracker.alarm,
             reads_service=self.node.reads_service,
         )
 
@@ -239,10 +239,10 @@
         self.serve(3, SIDES[0], "a")
         self.serve(3, SIDES[1], "b")
         await self.agree(3)
-        held = [daemon.follower.book.digest for daemon in self.daemons.values()]
+        held = [daemon.follower.tracker.digest for daemon in self.daemons.values()]
         await self.network.set_cut(False)
-        await self.wait_for(lambda d: d.follower.book.alarm)
-        self.assertEqual([d.follower.book.digest for d in self.daemons.values()], held)
+        await self.wait_for(lambda d: d.follower.tracker.alarm)
+        self.assertEqual([d.follower.tracker.digest for d in self.daemons.values()], held)
         self.serve(4)
         await self.agree(4)
-        self.assertEqual({d.follower.book.alarm for d in self.daemons.values()}, {""})
+        self.assertEqual({d.follower.tracker.alarm for d in self.daemons.values()}, {""})
--- a/wasabidrum/entry/daemon.py
+++ b/wasabidrum/entry/daemon.py
@@ -159,7 +159,7 @@
             leaving=self.leaving,
             refused_revision=self.follower.refused_revision,
             refused_reason=self.follower.refused_reason,
-            alarm=self.follower.book.alarm,
+            alarm=self.follower.tracker.alarm,
             reads_service=self.node.reads_service,
         )
 
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -27,7 +27,7 @@
     that holds it never sees a partial change.
 
     Attributes:
-      book: The known revisions: the one in force, claimed ones and the refused one.
+      tracker: The known revisions: the one in force, claimed ones and the refused one.
       on_change: Called when a revision is put in force or refused, or an alarm is raised.
       on_confirmed: Called when the service had no newer revision or its revision was put in
         force, with the time at which the service was asked. The time is of the clock that keeps
@@ -35,7 +35,7 @@
     """
 
     __slots__ = ("_service", "_site", "_log", "_current", "_changed", "_compressed", "_rendering")
-    __slots__ += ("_last_old_revision", "_reported_alarm", "book", "on_change", "on_confirmed")
+    __slots__ += ("_last_old_revision", "_reported_alarm", "tracker", "on_change", "on_confirmed")
 
     def __init__(self, service: ConfigurationService, site: str, log: EventLog) -> None:
         self._service = service
@@ -47,7 +47,7 @@
         self._rendering = asyncio.Lock()
         self._last_old_revision = 0
         self._reported_alarm = ""
-        self.book = RevisionTracker()
+        self.tracker = RevisionTracker()
         self.on_change: collections.abc.Callable[[], None] = ignore_change
         self.on_confirmed: collections.abc.Callable[[float], None] = ignore_confirmation
 
@@ -69,12 +69,12 @@
     @property
     def refused_revision(self) -> int:
         """The highest invalid revision known above the one in force, or zero."""
-        return self.book.refusal.revision if self.book.refusal else 0
+        return self.tracker.refusal.revision if self.tracker.refusal else 0
 
     @property
     def refused_reason(self) -> str:
         """All faults of the refused revision, or empty."""
-        return self.book.refusal.reason if self.book.refusal else ""
+        return self.tracker.refusal.reason if self.tracker.refusal else ""
 
     async def run(self, watch_seconds: float = WATCH_SECONDS) -> None:
         """Watches the service until cancelled."""
@@ -93,13 +93,13 @@
 
     def assess_claim(self, revision: int, digest: str) -> ClaimVerdict:
         """Records a claim that a revision exists; returns whether its value is wanted."""
-        claim = self.book.assess_claim(revision, digest)
+        claim = self.tracker.assess_claim(revision, digest)
         self._report_alarm()
         return claim
 
     def adopt_alarm(self, revision: int, alarm: str) -> None:
         """Adopts an alarm from a peer that has the given revision in force."""
-        self.book.adopt_alarm(revision, alarm)
+        self.tracker.adopt_alarm(revision, alarm)
         self._report_alarm()
 
     async def offer(self, value: ConfigValue, compressed: bytes = b"") -> bool:
@@ -128,7 +128,7 @@
 
     def refuse(self, revision: int, digest: str, reason: str) -> None:
         """Records that this process or a peer found a value invalid."""
-        if self.book.refuse(revision, digest, reason):
+        if self.tracker.refuse(revision, digest, reason):
             self._log.write(Event.REVISION_REFUSED, revision=revision, reason=reason)
             self.on_change()
 
@@ -139,8 +139,8 @@
         return self._current
 
     def _report_alarm(self) -> None:
-        if self.book.alarm and self.book.alarm != self._reported_alarm:
-            self._reported_alarm = self.book.alarm
+        if self.tracker.alarm and self.tracker.alarm != self._reported_alarm:
+            self._reported_alarm = self.tracker.alarm
             self._log.write(Event.REVISION_CONFLICT, reason=self._reported_alarm)
             self.on_change()
 
@@ -153,7 +153,7 @@
 
     async def _put_in_force(self, revision: FleetRevision, compressed: bytes) -> bool:
         async with self._changed:
-            if not self.book.put_in_force(revision.revision, revision.digest):
+            if not self.tracker.put_in_force(revision.revision, revision.digest):
                 return False
             self._current = revision
             self._compressed = compressed
--- a/wasabidrum/peers/configuration_follower_test.py
+++ b/wasabidrum/peers/configuration_follower_test.py
@@ -129,14 +129,14 @@
             ours, theirs = make_follower(FakeService()), make_follower(FakeService())
             await ours.offer(make_value(5, "a"))
             await theirs.offer(make_value(5, "b"))
-            held = {follower: follower.book.digest for follower in (ours, theirs)}
+            held = {follower: follower.tracker.digest for follower in (ours, theirs)}
             ours.assess_claim(5, held[theirs])
             theirs.assess_claim(5, held[ours])
             for follower in (ours, theirs):
-                self.assertEqual(follower.book.digest, held[follower])
-                self.assertIn("revision 5 has two contents", follower.book.alarm)
+                self.assertEqual(follower.tracker.digest, held[follower])
+                self.assertIn("revision 5 has two contents", follower.tracker.alarm)
                 self.assertTrue(await follower.offer(make_value(6)))
-                self.assertEqual(follower.book.alarm, "")
+                self.assertEqual(follower.tracker.alarm, "")
 
         run_paused(test)
 
@@ -228,12 +228,12 @@
         """Makes the receiver learn of the sender's revision and offers it the value."""
         if self.sides[sender] != self.sides[receiver]:
             return
-        book = self.processes[sender].book
-        if not book.revision:
+        tracker = self.processes[sender].tracker
+        if not tracker.revision:
             return
-        self.processes[receiver].assess_claim(book.revision, book.digest)
+        self.processes[receiver].assess_claim(tracker.revision, tracker.digest)
         compressed = self.processes[sender].compressed
-        value = decode_value(book.revision, book.digest, compressed)
+        value = decode_value(tracker.revision, tracker.digest, compressed)
         await self.processes[receiver].offer(value, compressed)
 
     async def converge(self) -> None:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -163,9 +163,9 @@
 
     def reply_configuration(self, request: FetchConfiguration) -> ConfigurationReply:
         """See PeerServiceOwner."""
-        book = self._follower.book
-        value = self._follower.compressed if request.digest == book.digest else b""
-        return ConfigurationReply(book.revision, book.digest, value)
+        tracker = self._follower.tracker
+        value = self._follower.compressed if request.digest == tracker.digest else b""
+        return ConfigurationReply(tracker.revision, tracker.digest, value)
 
     def reply_list(self, request: FetchList) -> ListReply:
         """See PeerServiceOwner."""
@@ -194,7 +194,7 @@
         records = list(self.table.records)
         return ControlReport(
             revision=self._follower.revision,
-            highest_heard=self._follower.book.highest,
+            highest_heard=self._follower.tracker.highest,
             reads_service=self.reads_service,
             readers=tuple(self.plan.readers(self._settings.data_centre)),
             parents=tuple(self.plan.parents(self._settings.name)),
--- a/wasabidrum/peers/peer_verifier.py
+++ b/wasabidrum/peers/peer_verifier.py
@@ -47,7 +47,7 @@
         answers = await asyncio.gather(*(self._ask(instance) for instance in asked))
         answered = sum(answers)
         await self._fetcher.wait()
-        if answered and self._follower.revision >= self._follower.book.highest:
+        if answered and self._follower.revision >= self._follower.tracker.highest:
             self._pause_detector.record_reply(asked_at, awake_seconds())
         self._log.write(
             Event.PEERS_ASKED,
--- a/wasabidrum/sidecar/daemon.py
+++ b/wasabidrum/sidecar/daemon.py
@@ -178,7 +178,7 @@
             suspects=self.deaths.suspects(asyncio.get_running_loop().time()),
             refused_revision=self.follower.refused_revision,
             refused_reason=self.follower.refused_reason,
-            alarm=self.follower.book.alarm,
+            alarm=self.follower.tracker.alarm,
             reads_service=self.node.reads_service,
         )
         return self.weights.complete_status(status) if self.weights else status
--- a/wasabidrum/weights/clock_guard.py
+++ b/wasabidrum/weights/clock_guard.py
@@ -75,7 +75,7 @@
                 told = True
             except CodedError as error:
                 self._log.write(Event.CONFIGURATION_UNREACHABLE, reason=str(error))
-            if told and not self._follower.book.is_behind:
+            if told and not self._follower.tracker.is_behind:
                 # Only the pauses before the questions are settled by their answers.
                 self._confirmed_pauses = pauses
             else:
