--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -108,7 +108,7 @@
     instances = make_fleet_list()
     tracemalloc.start()
     copies = InstanceRoster()
-    copies.take(InstanceList(1.0, tuple(make_fleet_list())))
+    copies.apply(InstanceList(1.0, tuple(make_fleet_list())))
     table = MemberTable("instance-0")
     table.apply_list(copies.instances, 0.0)
     plan = ReaderPlan(record.instance for record in table.usable(0.0))
--- a/wasabidrum/peers/instance_roster.py
+++ b/wasabidrum/peers/instance_roster.py
@@ -33,7 +33,7 @@
         """Returns an instance of the newest list, or None if it is not listed."""
         return self._lists.get(self.digest, {}).get(name)
 
-    def take(self, listed: InstanceList) -> bool:
+    def apply(self, listed: InstanceList) -> bool:
         """Stores a list unless it is older than the newest one; returns whether the instances
         changed."""
         if listed.as_of < self.as_of:
--- a/wasabidrum/peers/member_list_cache.py
+++ b/wasabidrum/peers/member_list_cache.py
@@ -47,7 +47,7 @@
         except CodedError as error:
             self._log.write(Event.LIST_UNREACHABLE, reason=str(error))
             return
-        if self.roster.take(listed):
+        if self.roster.apply(listed):
             self._on_change()
 
     def set_reads_often(self, reads_often: bool) -> None:
@@ -83,5 +83,5 @@
         except CodedError:
             return
         listed = self.roster.open(reply)
-        if listed is not None and self.roster.take(listed):
+        if listed is not None and self.roster.apply(listed):
             self._on_change()
