--- a/wasabidrum/peers/entry_messages.py
+++ b/wasabidrum/peers/entry_messages.py
@@ -49,7 +49,7 @@
 
 
 class NamedVersion(msgspec.Struct, frozen=True, array_like=True):
-    """For how many seconds a version of a model's weights has been wanted."""
+    """A version of a model's weights, and for how many seconds it has been wanted."""
 
     model: str
     version: int
--- a/wasabidrum/peers/instance_roster.py
+++ b/wasabidrum/peers/instance_roster.py
@@ -50,7 +50,7 @@
             del self._lists[next(iter(self._lists))]
         return True
 
-    def reply(self, request: FetchList) -> ListReply:
+    def make_reply(self, request: FetchList) -> ListReply:
         """Returns the newest list, or its changes if the requester's list is still stored here."""
         current = self._lists.get(self.digest, {})
         base = self._lists.get(request.digest)
@@ -60,7 +60,7 @@
         removed = tuple(name for name in base if name not in current)
         return ListReply(self.as_of, self.digest, request.digest, changed, removed)
 
-    def open(self, reply: ListReply) -> InstanceList | None:
+    def expand_reply(self, reply: ListReply) -> InstanceList | None:
         """Returns the full list of a reply, or None if the reply's base is not stored here."""
         base: dict[str, Instance] = {}
         if reply.base_digest:
--- a/wasabidrum/peers/member_list_cache.py
+++ b/wasabidrum/peers/member_list_cache.py
@@ -82,6 +82,6 @@
             reply = await peer_client.fetch_list(host, port, self.roster.digest)
         except CodedError:
             return
-        listed = self.roster.open(reply)
+        listed = self.roster.expand_reply(reply)
         if listed is not None and self.roster.apply(listed):
             self._on_change()
--- a/wasabidrum/peers/outbound_links.py
+++ b/wasabidrum/peers/outbound_links.py
@@ -118,7 +118,7 @@
 
     async def _maintain(self, outbound: OutboundLink) -> None:
         instance = outbound.instance
-        pause = INITIAL_RETRY_SECONDS
+        retry_seconds = INITIAL_RETRY_SECONDS
         while True:
             link = PeerLink(instance.name, self._gossip, self._owner)
             outbound.link = link
@@ -132,13 +132,13 @@
             outbound.link = None
             self._on_lost(instance.name, refused)
             if link.status is not None:
-                pause = INITIAL_RETRY_SECONDS
-            await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-            pause = min(MAX_RETRY_SECONDS, pause * 2)
+                retry_seconds = INITIAL_RETRY_SECONDS
+            await asyncio.sleep(retry_seconds * random.uniform(0.5, 1.0))
+            retry_seconds = min(MAX_RETRY_SECONDS, retry_seconds * 2)
 
     async def _watch_until_lost(self, instance: Instance, link: PeerLink) -> None:
-        # Where the network drops packets, connecting itself may hang. There is no link message
-        # yet by which close_silent could tell silence, so the first one has a timeout here.
+        # Where the network drops packets, connecting itself may hang. close_silent has no effect
+        # before the stream is open, so the first message has a timeout here.
         watching = asyncio.ensure_future(peer_client.watch(instance.host, instance.peer_port, link))
         try:
             await asyncio.wait((watching,), timeout=self._silence_seconds)
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -169,7 +169,7 @@
 
     def reply_list(self, request: FetchList) -> ListReply:
         """See PeerServiceOwner."""
-        return self.member_list.roster.reply(request)
+        return self.member_list.roster.make_reply(request)
 
     def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
@@ -276,17 +276,17 @@
 
     def _handle_pause(self, now: float) -> None:
         self._pause_detector.observe(awake_seconds())
-        paused = self._pause_detector.paused_seconds - self._handled_pause_seconds
-        counted = now - self._observed_at
+        paused_seconds = self._pause_detector.paused_seconds - self._handled_pause_seconds
+        counted_seconds = now - self._observed_at
         self._observed_at = now
-        if not paused:
+        if not paused_seconds:
             return
         self._handled_pause_seconds = self._pause_detector.paused_seconds
-        self._log.write(Event.PROCESS_PAUSED, seconds=round(paused, 2))
+        self._log.write(Event.PROCESS_PAUSED, seconds=round(paused_seconds, 2))
         # Receive times are kept by the event loop's clock, which does not count a suspension.
         # Shifted by more than that clock counted, they would lie in the future, and dead members
         # would be considered alive for that long.
-        seconds = min(paused, counted)
+        seconds = min(paused_seconds, counted_seconds)
         self.table.extend_time_limits(seconds)
         self._outbound.exclude_pause(seconds)
         for link in self._inbound:
--- a/wasabidrum/peers/peer_verifier.py
+++ b/wasabidrum/peers/peer_verifier.py
@@ -43,15 +43,15 @@
           The number of peers that answered.
         """
         asked_at = awake_seconds()
-        asked = self._choose(parents, asyncio.get_running_loop().time())
-        answers = await asyncio.gather(*(self._ask(instance) for instance in asked))
+        queried = self._choose(parents, asyncio.get_running_loop().time())
+        answers = await asyncio.gather(*(self._query(instance) for instance in queried))
         answered = sum(answers)
         await self._fetcher.wait()
         if answered and self._follower.revision >= self._follower.tracker.highest:
             self._pause_detector.record_reply(asked_at, awake_seconds())
         self._log.write(
             Event.PEERS_ASKED,
-            asked=len(asked),
+            asked=len(queried),
             answered=answered,
             revision=self._follower.revision,
         )
@@ -65,7 +65,7 @@
         chosen = near[: MAX_PEERS_ASKED - 1]
         return chosen + random.sample(far, min(len(far), MAX_PEERS_ASKED - len(chosen)))
 
-    async def _ask(self, instance: Instance) -> bool:
+    async def _query(self, instance: Instance) -> bool:
         host, port = instance.host, instance.peer_port
         try:
             reply = await peer_client.fetch_configuration(host, port, "")
--- a/wasabidrum/sidecar/daemon.py
+++ b/wasabidrum/sidecar/daemon.py
@@ -80,7 +80,7 @@
                 self.engine,
                 self.follower,
                 configuration,
-                self._ask_peers,
+                self._query_peers,
                 self.membership,
                 lambda: self.requests.count,
                 log,
@@ -197,7 +197,7 @@
         except CodedError as error:
             self._log.write(Event.TASK_FAILED, task="cancel", reason=str(error))
 
-    async def _ask_peers(self) -> int:
+    async def _query_peers(self) -> int:
         # Without peer streams, the service is the only source to query.
         return 0 if self._settings.control == "service" else await self.node.verify()
 
