--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -141,7 +141,7 @@
 
     def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple[MemberUpdate, ...]]:
         """See GossipOwner."""
-        return self._members.news.after(cursor, limit)
+        return self._members.updates.after(cursor, limit)
 
     def wake_all(self) -> None:
         """Makes every link push without waiting for its next heartbeat."""
