--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -49,13 +49,13 @@
         load = Load(self._sequence % 8, 0, 8, 100.0)
         return Status("a", InstanceRole.SIDECAR, "1", self._sequence, load=load)
 
-    def news_after(self, cursor: int, limit: int) -> tuple[int, tuple]:
+    def updates_after(self, cursor: int, limit: int) -> tuple[int, tuple]:
         """See LinkOwner."""
         return cursor, ()
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner; has the next push sent at once."""
-        link.whole_status(push)
+        link.merge_push(push)
         self.received += 1
         if self._link is not None:
             self._link.wake()
@@ -108,7 +108,7 @@
     instances = make_fleet_list()
     tracemalloc.start()
     copies = InstanceRoster()
-    copies.take(InstanceList(1.0, tuple(make_fleet_list())))
+    copies.apply(InstanceList(1.0, tuple(make_fleet_list())))
     table = MemberTable("instance-0")
     table.apply_list(copies.instances, 0.0)
     plan = ReaderPlan(record.instance for record in table.usable(0.0))
--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -52,9 +52,9 @@
         """See LinkOwner."""
         return self._node.status()
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
-        self._node.take_push(link, push)
+        self._node.handle_push(link, push)
         if link.status is not None and self._table.record_status(link.status):
             self._log.write(Event.ENDPOINT_BACK, endpoint=link.name)
 
@@ -64,7 +64,7 @@
         try:
             while True:
                 now = loop.time()
-                self._links.end_silent(now)
+                self._links.close_silent(now)
                 state = (self._node.table.version, self._follower.revision)
                 if (
                     state != self._chosen_for_state
@@ -90,12 +90,12 @@
             picked = endpoint_subset.choose_subset(me, [*entries, me], endpoints, unusable, size)
             chosen |= {endpoint.name: endpoint for endpoint in picked}
         self._table.update_instances(tuple(chosen.values()))
-        self._links.keep([e for e in chosen.values() if e.peer_port], now)
+        self._links.set_wanted([e for e in chosen.values() if e.peer_port], now)
 
     def _record_loss(self, name: str, refused: bool) -> None:
         if self._table.record_loss(name, refused):
             self._log.write(Event.ENDPOINT_OUT, endpoint=name, refused=refused)
-        self._node.lose(name, refused)
+        self._node.suspect(name, refused)
 
     def _find_member(self, name: str) -> Instance | None:
         record = self._node.table.get(name)
@@ -104,7 +104,7 @@
         return record.instance
 
     def _exclude_pause(self, seconds: float) -> None:
-        self._links.forgive(seconds)
+        self._links.exclude_pause(seconds)
         self._table.exclude_pause(seconds)
 
 
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -21,14 +21,14 @@
 from ..observe.event_log import EventLog
 from ..peers import entry_messages, peer_client
 from ..peers.entry_messages import (
+    Acknowledgement,
     ChangesReply,
     EntryAddress,
     FetchChanges,
     Meet,
     NamedVersion,
     PeerChange,
-    TellSuspects,
-    Told,
+    SuspectsReport,
 )
 from ..peers.peer_client import CODEC
 from .entry_service import EntryService
@@ -135,7 +135,7 @@
             unanswered=now - since if since is not None else 0.0,
         )
 
-    def handle_suspects(self, message: TellSuspects) -> None:
+    def handle_suspects(self, message: SuspectsReport) -> None:
         """See EntryServiceOwner."""
         now = asyncio.get_running_loop().time()
         for fingerprint in message.fingerprints:
@@ -156,10 +156,10 @@
         pending, self._pending_suspects = self._pending_suspects, {}
         addresses = self._roster.all_addresses(awake_seconds())
         for endpoint, fingerprints in pending.items():
-            message = TellSuspects(endpoint, tuple(fingerprints))
+            message = SuspectsReport(endpoint, tuple(fingerprints))
             await asyncio.gather(
                 *(
-                    self._call(address, entry_messages.SUSPECTS_PATH, message, Told)
+                    self._call(address, entry_messages.SUSPECTS_PATH, message, Acknowledgement)
                     for address in addresses
                 )
             )
--- a/wasabidrum/gateway/load_watcher.py
+++ b/wasabidrum/gateway/load_watcher.py
@@ -62,9 +62,9 @@
             placing_limits=self._state.placing_limits(),
         )
 
-    def take_push(self, link: PeerLink, push: Push) -> None:
+    def handle_push(self, link: PeerLink, push: Push) -> None:
         """See LinkOwner."""
-        status = link.whole_status(push)
+        status = link.merge_push(push)
         if status is None:
             return
         if link.name not in self._connected:
@@ -77,12 +77,12 @@
         loop = asyncio.get_running_loop()
         try:
             while True:
-                self._links.end_silent(loop.time())
+                self._links.close_silent(loop.time())
                 self._push_changed_limits()
                 versions = (self._state.endpoints.version, self._state.version)
                 if versions != self._linked_for:
                     self._linked_for = versions
-                    self._links.keep(self._sidecars_to_watch(), loop.time())
+                    self._links.set_wanted(self._sidecars_to_watch(), loop.time())
                 await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
         finally:
             await self._links.close_all()
--- a/wasabidrum/weights/suspension_guard.py
+++ b/wasabidrum/weights/suspension_guard.py
@@ -75,7 +75,7 @@
                 answered = True
             except CodedError as error:
                 self._log.write(Event.CONFIGURATION_UNREACHABLE, reason=str(error))
-            if answered and not self._follower.book.is_behind:
+            if answered and not self._follower.tracker.is_behind:
                 # The answers cover only suspensions that were detected before the requests.
                 self._confirmed_suspensions = suspensions
             else:
