--- a/wasabidrum/config/__init__.py
+++ b/wasabidrum/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one process and the fleet's files: reading, merging, validation."""
+"""Settings of one process and the fleet's files: reading, merging and validation."""
--- a/wasabidrum/config/bundle.py
+++ b/wasabidrum/config/bundle.py
@@ -1,7 +1,7 @@
-"""The published value: the base and every site's overlay together, so that they change as one.
+"""The published value: the base and all overlays together, so that they change atomically.
 
-Operators write YAML files; `wasabidrum bundle` joins them into this value, and the
-platform's configuration service publishes it.
+Operators write YAML files. `wasabidrum bundle` combines them into this value, and the platform's
+configuration service publishes it.
 """
 
 import msgspec
@@ -13,12 +13,12 @@
 from .fleet_check import SCHEMA
 from .overlay import merge_overlay
 
-LARGEST_VALUE_BYTES = 1_048_576
+MAX_VALUE_BYTES = 1_048_576
 FINDINGS_SHOWN = 20
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The base file's tree and the overlays' trees by site."""
+    """The tree of the base file, and the trees of the overlays by site."""
 
     schema: int
     base: dict[str, object]
@@ -26,17 +26,17 @@
 
 
 def encode_bundle(bundle: Bundle) -> bytes:
-    """Returns the value to publish; the same bundle always gives the same bytes."""
+    """Returns the value to publish; the encoding is deterministic."""
     return msgspec.json.encode(bundle, order="sorted")
 
 
 def decode_bundle(content: bytes) -> Bundle:
-    """Decodes a published value, JSON as the tool writes it or the same in YAML.
+    """Decodes a published value: JSON as the tool writes it, or equivalent YAML.
 
     Raises:
-      CodedError: The value is not a bundle of the schema that this program knows.
+      CodedError: The value is not a bundle of the supported schema.
     """
-    if len(content) > LARGEST_VALUE_BYTES:
+    if len(content) > MAX_VALUE_BYTES:
         raise CodedError("configuration_too_large", f"{len(content)} bytes", 503)
     try:
         if content.lstrip()[:1] == b"{":
@@ -51,12 +51,12 @@
 
 
 def read_yaml_value(content: bytes) -> dict[str, object]:
-    """Reads a value that was published as YAML text.
+    """Decodes a value that was published as YAML.
 
     Raises:
-      CodedError: The text is not sound; all its faults are told with their places.
+      CodedError: The YAML is invalid; the message lists all faults with their locations.
     """
-    # Imported where it is needed: values are JSON but where someone published by hand.
+    # Imported only here: values are JSON unless an operator published one by hand.
     from .yaml_file import read_yaml
 
     tree, findings = read_yaml("value", content)
@@ -66,28 +66,28 @@
 
 
 def render_site(value: ConfigValue, site: str) -> FleetRevision:
-    """Renders a published value for one site.
+    """Returns the configuration of one site from a published value.
 
-    Every overlay is checked, not only this site's, so that all sites accept or refuse a
-    revision alike.
+    All overlays are checked, not only that of this site, so that every site accepts or every site
+    refuses a revision.
 
     Raises:
-      CodedError: The value is invalid at some site; the message holds every finding.
+      CodedError: The value is invalid for some site; the message lists the findings.
     """
     bundle = decode_bundle(value.content)
     try:
         problems = check_bundle(bundle.base, bundle.overlays)
     except RecursionError as error:
-        raise CodedError("configuration_invalid", "nested too deep") from error
+        raise CodedError("configuration_invalid", "the value is nested too deeply") from error
     if problems:
-        lines = (f"overlays.{place}: {fault}" if place else f"{fault}" for place, fault in problems)
+        lines = (f"overlays.{where}: {fault}" if where else f"{fault}" for where, fault in problems)
         raise CodedError("configuration_invalid", join_findings(lines))
     tree = merge_overlay(bundle.base, bundle.overlays.get(site, {}))
     return FleetRevision(value.revision, value.digest, msgspec.convert(tree, Fleet))
 
 
 def join_findings(lines: object) -> str:
-    """Returns findings as one text, of a length that a log line and a status can carry."""
+    """Joins findings to one text, shortened to a length that fits a log line and a status."""
     lines = list(lines)
     more = len(lines) - FINDINGS_SHOWN
     return "; ".join(lines[:FINDINGS_SHOWN]) + (f"; and {more} more" if more > 0 else "")
--- a/wasabidrum/config/deployment.py
+++ b/wasabidrum/config/deployment.py
@@ -1,22 +1,22 @@
-"""Where one process runs on the platform, and the bounds that it must keep."""
+"""Where one process runs on the platform, and the time bounds that it must keep."""
 
 import msgspec
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What the users ask for, in seconds.
+    """The bounds that the platform requires, in seconds.
 
     Attributes:
-      configuration: From a change's acknowledgement until it is in force.
-      revocation: From then until a key that was taken away is refused everywhere.
-      drain: From an endpoint's notice until it gets no new work.
+      configuration: From the acknowledgement of a change until it is in force.
+      revocation: From the same moment until a revoked key is refused everywhere.
+      drain: From an endpoint's notice that it leaves until it receives no new requests.
       grace: From SIGTERM until the process is killed.
-      version: From a version's acknowledgement until no request begins on an older one, while the
-        store answers.
-      settling: From the end of an outage of the store until it counts as answering again.
-      retry_fraction: Retries for each request of a service.
-      retry_extra: Retries more in each window, for all entries together.
-      retry_window: The length of that window.
+      version: From the acknowledgement of a version until no request begins on an older one, while
+        the store is available.
+      settling: From the end of an outage of the store until it counts as available again.
+      retry_fraction: The number of retries allowed per request of a service, a ratio.
+      retry_extra: The number of additional retries in each window, for all entries together.
+      retry_window: The length of that window in seconds.
     """
 
     configuration: float = 2.0
@@ -31,7 +31,7 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where something listens."""
+    """A host and a port."""
 
     host: str
     port: int
@@ -41,19 +41,21 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What the platform tells a process when it starts.
+    """The settings that the platform provides to a process when it starts.
 
     Attributes:
-      role: "entry" where callers are served, "sidecar" beside an endpoint.
-      region_of: Regions by data centre.
-      callers: Where callers connect; entries only.
-      readiness: Where the platform asks whether callers may come; entries only.
-      peers_listen: Where other entries find this one; entries only.
-      first_port: The first port that daemons may use among themselves; the same everywhere.
-      seeds: Where some entries listen for others; some may be gone.
-      link_mbit: The instance's link, each way.
-      store: The platform's store.
-      endpoint: The endpoint beside a sidecar, and the service that it belongs to.
+      role: "entry" for a process that serves callers, "sidecar" for one beside an endpoint.
+      region_of: The region of each data centre.
+      callers: Where an entry listens for callers; entries only.
+      readiness: Where the platform checks whether an entry is ready for callers; entries only.
+      peers_listen: Where an entry listens for other entries; entries only.
+      first_port: The first port for connections between daemons; the same on all instances.
+      last_port: The last one.
+      seeds: Addresses of some entries for initial contact; some may no longer exist.
+      link_mbit: The rate of the instance's link in each direction.
+      store: The address of the platform's store.
+      endpoint: The address of the endpoint beside a sidecar.
+      service: The service of that endpoint.
     """
 
     name: str
--- a/wasabidrum/config/documentation_test.py
+++ b/wasabidrum/config/documentation_test.py
@@ -1,4 +1,4 @@
-"""Holds docs/CONFIGURATION.md and the types of settings and fleet files equal."""
+"""Tests that docs/CONFIGURATION.md agrees with the types of the settings and fleet files."""
 
 import collections.abc
 import json
@@ -40,7 +40,7 @@
 
 
 def list_field(kind: inspect.Type, key: str, default: str) -> collections.abc.Iterator[Row]:
-    """Yields the rows of one field: itself where it is a value, its keys where it holds any."""
+    """Yields the rows of one field: its own, or those of its keys where it is a struct or map."""
     if isinstance(kind, inspect.UnionType):
         (kind,) = (one for one in kind.types if not isinstance(one, inspect.NoneType))
     if isinstance(kind, inspect.DictType):
@@ -54,7 +54,7 @@
 
 
 def show_kind(kind: inspect.Type) -> str:
-    """Returns what a value may be, as the page says it."""
+    """Returns a description of the allowed values, as the page has it."""
     if isinstance(kind, inspect.VarTupleType):
         return f"list of {show_kind(kind.item_type)}"
     if isinstance(kind, inspect.LiteralType):
@@ -68,7 +68,7 @@
 
 
 def show_default(field: inspect.Field) -> str:
-    """Returns a default as the page says it."""
+    """Returns a default value, as the page has it."""
     value = field.default
     if value is msgspec.NODEFAULT:
         value = field.default_factory()
@@ -86,7 +86,7 @@
 
 
 class DocumentationTest(unittest.TestCase):
-    """Operators can rely on the page: no key is missing, none is left over."""
+    """The page describes every key and code, and no others."""
 
     maxDiff = None
 
--- a/wasabidrum/config/fleet_check.py
+++ b/wasabidrum/config/fleet_check.py
@@ -1,7 +1,7 @@
-"""Finds what contradicts itself within one site's configuration, whatever its form.
+"""Finds contradictions within the configuration of one site.
 
-These checks run in the tool and in every daemon, so that what `wasabidrum check` passes is
-what all sites accept.
+These checks run in the tool and in every daemon, so that all sites accept what `wasabidrum check`
+accepts.
 """
 
 import collections.abc
@@ -18,9 +18,9 @@
     """Yields every contradiction of a configuration whose values have the right types.
 
     Args:
-      fleet: The configuration, perhaps without the parts that are invalid by themselves.
-      models: The names of all models that the files describe, invalid ones included.
-      services: The same of plain services.
+      fleet: The configuration, possibly without the parts that are invalid by themselves.
+      models: The names of all models in the files, invalid ones included.
+      services: The names of all plain services in the files, invalid ones included.
     """
     if fleet.schema != SCHEMA:
         message = f"schema {fleet.schema} is not {SCHEMA}, the one that this program knows"
@@ -43,10 +43,10 @@
 
 
 def check_model(name: str, model: ModelSpec) -> collections.abc.Iterator[Problem]:
-    """Yields what is wrong with one model."""
+    """Yields the problems of one model."""
     if model.version not in model.versions:
-        # A fleet told to fetch a version that no origin has would try for ever, while
-        # operators wait for a rollout that cannot end.
+        # The fleet would try for ever to fetch a version that the origin does not have, and the
+        # rollout would never end.
         message = f"{name} wants the version {model.version}, which its versions do not list"
         yield Problem(("models", name, "version"), "VERSION-UNLISTED", message)
 
@@ -54,7 +54,7 @@
 def check_endpoints(
     fleet: Fleet, models: collections.abc.Container[str], services: collections.abc.Container[str]
 ) -> collections.abc.Iterator[Problem]:
-    """Yields endpoints that serve nothing, two things, or a thing that is not described."""
+    """Yields endpoints without a model or service, with both, or with an undefined one."""
     for name, endpoint in fleet.endpoints.items():
         path = ("endpoints", name)
         if bool(endpoint.model) == bool(endpoint.service):
@@ -72,7 +72,7 @@
 def check_workspaces(
     fleet: Fleet, models: collections.abc.Container[str], services: collections.abc.Container[str]
 ) -> collections.abc.Iterator[Problem]:
-    """Yields workspaces that reach the unknown, or that share a key with another."""
+    """Yields workspaces that may call undefined models or services, or that share a key."""
     owners: dict[str, str] = {}
     for name, workspace in fleet.workspaces.items():
         path = ("workspaces", name)
@@ -86,15 +86,15 @@
                 yield Problem((*path, "services", index), "SERVICE-UNKNOWN", message)
         for index, digest in enumerate(workspace.key_digests):
             if digest in owners:
-                # A key of two workspaces would let a caller into the one that is found
-                # first, and with it into the other's models, limits and answers.
+                # A key of two workspaces would admit its caller to the workspace that is found
+                # first, and so to the models, limits and answers of the wrong workspace.
                 message = f"{name} lists a key digest that {owners[digest]} lists as well"
                 yield Problem((*path, "key_digests", index), "KEY-DIGEST-TWICE", message)
             owners[digest] = name
 
 
 def check_limits(limits: LimitSpec) -> collections.abc.Iterator[Problem]:
-    """Yields limits that leave no room for what is granted within them."""
+    """Yields limits that contradict each other."""
     if limits.largest_deadline_seconds < limits.default_deadline_seconds:
         message = "largest_deadline_seconds is below default_deadline_seconds"
         yield Problem(("limits", "largest_deadline_seconds"), "LIMIT-BELOW-DEFAULT", message)
--- a/wasabidrum/config/fleet_files.py
+++ b/wasabidrum/config/fleet_files.py
@@ -1,12 +1,12 @@
-"""Reads a base file and overlay files, and finds everything that is wrong with them."""
+"""Reads a base file and overlay files, and finds all problems in them."""
 
 import dataclasses
 import pathlib
 
 from ..core.finding import Finding
-from .bundle import LARGEST_VALUE_BYTES, Bundle, encode_bundle
+from .bundle import MAX_VALUE_BYTES, Bundle, encode_bundle
 from .bundle_check import BASE, check_bundle
-from .placed_tree import PlacedTree
+from .located_tree import LocatedTree
 from .problem import Problem
 from .yaml_file import read_yaml_file
 
@@ -16,28 +16,28 @@
     """The files of a fleet, read and checked.
 
     Attributes:
-      bundle: What would be published; not to be used where there are findings.
-      findings: Every fault, in the order of files and lines.
+      bundle: The value to publish; must not be used if there are findings.
+      findings: All faults, ordered by file and line.
     """
 
-    base: PlacedTree
-    overlays: dict[str, PlacedTree]
+    base: LocatedTree
+    overlays: dict[str, LocatedTree]
     bundle: Bundle
     findings: list[Finding]
 
 
 def site_of(path: str) -> str:
-    """Returns the site of an overlay file, which is the file's name without its ending."""
+    """Returns the site of an overlay file: the file's name without its extension."""
     return pathlib.PurePath(path).stem
 
 
 def read_fleet_files(base_path: str, overlay_paths: list[str]) -> FleetFiles:
     """Reads and checks a base file and any number of overlays, in one pass.
 
-    A published value, which holds the base and all overlays, may stand for the base file.
+    A published value, which contains the base and all overlays, may be given as the base file.
     """
     base, findings = read_yaml_file(base_path)
-    overlays: dict[str, PlacedTree] = {}
+    overlays: dict[str, LocatedTree] = {}
     for path in overlay_paths:
         tree, faults = read_yaml_file(path)
         findings += faults
@@ -51,15 +51,15 @@
     trees = {site: tree.values for site, tree in overlays.items()}
     schema = base.values.get("schema", 0)
     bundle = Bundle(schema, base.values, trees)
-    # What is missing from a file that is cut off would be told as a hundred other faults.
+    # A file that is broken, such as a truncated one, would also cause many misleading findings.
     if not findings:
-        findings = [place(base, overlays, *found) for found in check_bundle(base.values, trees)]
+        findings = [locate(base, overlays, *found) for found in check_bundle(base.values, trees)]
         findings += check_size(base_path, bundle)
     return FleetFiles(base, overlays, bundle, sorted(set(findings)))
 
 
-def split_value(value: PlacedTree) -> tuple[PlacedTree, dict[str, PlacedTree]]:
-    """Returns base and overlays of a value as it was published, with its own lines."""
+def split_value(value: LocatedTree) -> tuple[LocatedTree, dict[str, LocatedTree]]:
+    """Returns the base and the overlays of a published value, located by its own lines."""
     sites = value.values.get("overlays")
     overlays = {
         site: value.subtree(("overlays", site))
@@ -68,23 +68,23 @@
     return value.subtree(("base",)), overlays
 
 
-def place(
-    base: PlacedTree, overlays: dict[str, PlacedTree], site: str, problem: Problem
+def locate(
+    base: LocatedTree, overlays: dict[str, LocatedTree], site: str, problem: Problem
 ) -> Finding:
-    """Returns the finding, in the file that states the most of the keys leading to it."""
+    """Returns the finding for a problem, in the file that states most of the path to it."""
     if site == BASE:
-        return base.place(problem)
+        return base.locate(problem)
     overlay = overlays[site]
     if overlay.depth_known(problem.path) >= base.depth_known(problem.path):
-        return overlay.place(problem)
-    finding = base.place(problem)
+        return overlay.locate(problem)
+    finding = base.locate(problem)
     return dataclasses.replace(finding, message=f"{finding.message} (with {overlay.file})")
 
 
 def check_size(base_path: str, bundle: Bundle) -> list[Finding]:
-    """Returns a finding where the service could not hold the value."""
+    """Returns a finding if the value exceeds the limit of the configuration service."""
     size = len(encode_bundle(bundle))
-    if size <= LARGEST_VALUE_BYTES:
+    if size <= MAX_VALUE_BYTES:
         return []
-    message = f"base and overlays make {size} bytes; the service holds {LARGEST_VALUE_BYTES}"
+    message = f"base and overlays make {size} bytes; the service holds {MAX_VALUE_BYTES}"
     return [Finding(base_path, 1, 1, "VALUE-TOO-LARGE", message)]
--- a/wasabidrum/config/fleet_files_test.py
+++ b/wasabidrum/config/fleet_files_test.py
@@ -1,4 +1,4 @@
-"""Tests of what `wasabidrum check` finds, and that the daemons decide alike."""
+"""Tests of the findings of `wasabidrum check`, and that daemons decide alike."""
 
 import tempfile
 import unittest
@@ -17,27 +17,27 @@
 
 
 def check(base: str, **overlays: str) -> FleetFiles:
-    """Reads and checks files with the given texts."""
+    """Reads and checks files with the given contents."""
     with tempfile.TemporaryDirectory() as folder:
         base_path, paths = sample_files.write_files(folder, base, **overlays)
         return read_fleet_files(base_path, paths)
 
 
 def found(base: str, **overlays: str) -> list[tuple[str, int, int, str]]:
-    """Returns file name, line, column and code of each finding."""
+    """Returns the file name, line, column and code of each finding."""
     findings = check(base, **overlays).findings
     return [(f.file.rsplit("/", 1)[1], f.line, f.column, f.code) for f in findings]
 
 
 class FleetFilesTest(unittest.TestCase):
-    """Every fault is told with its place, all in one pass."""
+    """All faults are reported in one run, each with its location."""
 
-    def test_sound_files_have_no_findings(self) -> None:
+    def test_valid_files_have_no_findings(self) -> None:
         self.assertEqual(found(BASE, rift=OVERLAY), [])
 
-    def test_all_findings_come_in_one_pass_with_their_places(self) -> None:
-        """An operator mends a file that has many faults. Told one fault a run, they run the
-        check a dozen times during an incident, and the site waits that long."""
+    def test_one_run_reports_all_findings_with_their_locations(self) -> None:
+        """A file has many faults. If each run reported only one, an operator would have to run the
+        check a dozen times during an incident."""
         base = BASE.replace("version: v1\n", "verison: v1\n").replace("bytes: 100", "bytes: -1")
         base = base.replace("service: tally}", "service: tally, model: summaries}")
         base = base.replace("models: [summaries]", "models: [summaries, sumaries]")
@@ -55,9 +55,9 @@
         self.assertIn("did you mean version?", messages[1])
 
     def test_contradictions_between_base_and_overlays(self) -> None:
-        """Two sites are edited by two people. Each file is sound by itself, and together they
-        put one endpoint in two regions, want a version that the origin lacks, and give two
-        workspaces one key: callers of one would be let in as the other."""
+        """The overlays of two sites are each valid alone. Together they put one endpoint in two
+        regions, want a version that the origin does not have, and give two workspaces one key:
+        callers of one would be admitted as the other."""
         rift = f"""\
 models:
   summaries: {{version: v9}}
@@ -85,24 +85,24 @@
         ]
         self.assertEqual(found(BASE, rift=rift, coast=coast), expected)
 
-    def test_an_overlay_that_removes_what_others_need(self) -> None:
-        """A site's overlay removes a model that its endpoints still serve. The fault lies in
-        the overlay, though the lines that it spoils stand in the base."""
+    def test_an_overlay_that_removes_a_model_in_use(self) -> None:
+        """A site's overlay removes a model that its endpoints still serve. The finding is located
+        at lines of the base, but must name the overlay, which is the cause."""
         findings = check(BASE, rift="models: {summaries: null}\n").findings
         self.assertEqual({finding.code for finding in findings}, {"MODEL-UNKNOWN"})
         self.assertTrue(all("rift.yaml" in finding.message for finding in findings))
 
-    def test_a_key_in_plain_is_refused_and_not_repeated(self) -> None:
-        """Someone lists a bearer key in place of its digest. The finding goes to screens and
-        logs, so it must not carry the key there."""
+    def test_a_plain_text_key_is_refused_and_not_printed(self) -> None:
+        """A file lists a bearer key in place of its digest. Findings appear on screens and in
+        logs, so they must not contain the key."""
         findings = check(BASE.replace(KEY_DIGEST, "secret-of-stationers")).findings
         self.assertEqual([finding.code for finding in findings], ["VALUE-FORM"])
         self.assertNotIn("secret-of-stationers", str(findings[0]))
 
-    def test_text_that_is_not_whole_or_could_do_harm(self) -> None:
-        """A file is saved half-written, or its aliases stand for billions of values. Read
-        without care, the first gives a fleet without its last workspaces and the second
-        fills the memory until the daemon is killed."""
+    def test_truncated_or_harmful_text_is_refused(self) -> None:
+        """A file is truncated, or its aliases expand to billions of values. If it were accepted,
+        the first would give a fleet without its last workspaces, and the second would exhaust the
+        memory until the daemon is killed."""
         bomb = "a: &a [x, x, x, x, x, x, x, x, x, x]\n"
         for name, last in zip("bcdefgh", "abcdefg", strict=True):
             bomb += f"{name}: &{name} [{', '.join(['*' + last] * 10)}]\n"
@@ -125,16 +125,16 @@
                 findings = check(text).findings
                 self.assertIn(code, [finding.code for finding in findings])
 
-    def test_a_published_value_is_checked_with_its_own_lines(self) -> None:
-        """Every daemon refuses a revision that was not made with the tool. The operator has
-        only the published value, and looks for the fault in it."""
+    def test_findings_in_a_published_value_have_its_own_lines(self) -> None:
+        """All daemons refuse a revision that was not made with the tool. The operator has only
+        the published value in which to find the fault."""
         indented = "".join(f"  {line}\n" for line in BASE.splitlines())
         value = f"schema: 1\nbase:\n{indented}overlays:\n  rift: {{limits: {{body_bytes: 0}}}}\n"
         self.assertEqual(found(value), [("fleet.yaml", 22, 31, "VALUE-RANGE")])
 
-    def test_files_that_the_service_could_not_hold(self) -> None:
-        """Base and overlays grow past a megabyte. The service would refuse the value, or a
-        daemon would, long after the operator has left."""
+    def test_files_that_exceed_the_service_limit(self) -> None:
+        """Base and overlays together exceed a megabyte. Without the finding, the service or a
+        daemon would refuse the value only later, after publication."""
         versions = [f"v{n}: {{root: {ROOT_DIGEST}, bytes: 1}}" for n in range(13_000)]
         base = BASE.replace("    versions:\n", "    versions:\n      " + "\n      ".join(versions))
         base = base.replace(f"v1: {{root: {ROOT_DIGEST}, bytes: 100}}", "", 1)
@@ -142,8 +142,8 @@
         self.assertIn("VALUE-TOO-LARGE", codes)
 
 
-def spoil(text: str, draw: strategies.DataObject) -> str:
-    """Returns the text with a few characters replaced, cut out or doubled."""
+def corrupt(text: str, draw: strategies.DataObject) -> str:
+    """Returns the text with a few ranges replaced, removed or extended."""
     for _ in range(draw.draw(strategies.integers(1, 4))):
         place = draw.draw(strategies.integers(0, len(text)))
         length = draw.draw(strategies.integers(0, 12))
@@ -153,14 +153,14 @@
 
 
 class AcceptedAlikeTest(unittest.TestCase):
-    """The tool and the daemons accept the same, whatever the files hold."""
+    """The tool and the daemons accept the same files."""
 
     @FUZZ
     @hypothesis.given(strategies.data())
-    def test_daemons_accept_exactly_what_the_check_passes(self, draw) -> None:
-        """A revision passes the check and is then refused by some daemons, or slips past it
-        and is accepted. Operators see a fleet that is split between two revisions."""
-        files = check(spoil(BASE, draw), rift=spoil(OVERLAY, draw))
+    def test_daemons_accept_exactly_what_the_check_accepts(self, draw) -> None:
+        """If the check and the daemons disagreed, daemons would refuse a revision that passed the
+        check, or accept a faulty one, and the fleet could be split between two revisions."""
+        files = check(corrupt(BASE, draw), rift=corrupt(OVERLAY, draw))
         if any(f.code in ("YAML-BROKEN", "NOT-A-MAP", "KEY-TWICE") for f in files.findings):
             return
         value = ConfigValue(1, "digest", encode_bundle(files.bundle))
@@ -175,14 +175,14 @@
 
     @FUZZ
     @hypothesis.given(strategies.binary(max_size=300), strategies.booleans())
-    def test_bytes_of_any_kind_are_refused_with_a_code(self, content: bytes, as_map: bool) -> None:
-        """A value was written by another program or cut on its way. A daemon that fell over
-        it would fall over it again at each start."""
+    def test_arbitrary_bytes_are_refused_with_a_code(self, content: bytes, as_map: bool) -> None:
+        """A value was written by another program or truncated in transit. A daemon that crashed
+        on it would crash again at each start."""
         value = ConfigValue(1, "digest", (b"{" if as_map else b"") + content)
         with self.assertRaises(CodedError):
             render_site(value, "rift")
 
-    def test_a_value_published_as_yaml_is_read_as_the_files_are(self) -> None:
+    def test_a_value_published_as_yaml_is_checked_like_the_files(self) -> None:
         indented = "".join(f"  {line}\n" for line in BASE.splitlines())
         sound = f"schema: 1\nbase:\n{indented}".encode()
         self.assertEqual(render_site(ConfigValue(1, "d", sound), "rift").fleet.schema, 1)
--- a/wasabidrum/config/overlay.py
+++ b/wasabidrum/config/overlay.py
@@ -1,4 +1,4 @@
-"""How an overlay changes the base."""
+"""Merges an overlay into the base."""
 
 
 def merge_overlay(base: object, overlay: object) -> object:
--- a/wasabidrum/config/overlay_test.py
+++ b/wasabidrum/config/overlay_test.py
@@ -1,4 +1,4 @@
-"""Tests of how an overlay changes the base."""
+"""Tests of merging an overlay into the base."""
 
 import unittest
 
--- a/wasabidrum/config/problem.py
+++ b/wasabidrum/config/problem.py
@@ -1,4 +1,4 @@
-"""A fault in a tree of values, by the keys that lead to it."""
+"""A fault in a tree of values, identified by the path of keys to it."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault. A finding is a problem whose keys were traced to a line of a file.
+    """One fault. A finding is a problem with its path resolved to a line of a file.
 
     Attributes:
-      path: The keys and list positions that lead from the root to the fault.
-      at_key: Whether the fault is the last key itself and not the value under it.
+      path: The keys and list indices from the root to the fault.
+      at_key: Whether the fault is the last key itself and not its value.
     """
 
     path: KeyPath
@@ -24,7 +24,7 @@
 
 
 def show_path(path: KeyPath) -> str:
-    """Returns the keys as an operator would write them, such as a.b[2].c."""
+    """Formats a path for operators, such as a.b[2].c."""
     shown = ""
     for part in path:
         if isinstance(part, int):
--- a/wasabidrum/config/rendering.py
+++ b/wasabidrum/config/rendering.py
@@ -1,4 +1,4 @@
-"""The file in force at one site, each value with the file and line that it comes from."""
+"""The configuration in force at one site, each value with its file, line and column."""
 
 import collections.abc
 import dataclasses
@@ -6,12 +6,12 @@
 import re
 
 from .fleet_files import FleetFiles
+from .located_tree import LocatedTree
 from .overlay import merge_overlay
-from .placed_tree import PlacedTree
 from .problem import KeyPath, show_path
 
 PLAIN_KEY = re.compile(r"[A-Za-z_/][A-Za-z0-9_./-]*")
-# Words that YAML reads as something other than text.
+# Words that YAML does not read as text.
 SPECIAL_WORDS = frozenset(("null", "true", "false", "yes", "no", "on", "off", "y", "n"))
 INDENT = "  "
 
@@ -26,7 +26,7 @@
 
     @property
     def name(self) -> str:
-        """The keys that lead to the value, as an operator writes them."""
+        """The path of the value, formatted for operators."""
         return show_path(self.path)
 
 
@@ -35,14 +35,14 @@
     """The base with one overlay applied, or the base alone."""
 
     tree: dict[str, object]
-    files: tuple[PlacedTree, ...]
+    files: tuple[LocatedTree, ...]
 
     def values(self) -> collections.abc.Iterator[RenderedValue]:
-        """Yields every value in the order of the files; a list counts as one value."""
+        """Yields all values in the order of the files; a list counts as one value."""
         yield from self._walk(self.tree, ())
 
     def lines(self, sources: bool) -> collections.abc.Iterator[str]:
-        """Yields the lines of a YAML file, with each value's source as a comment on request."""
+        """Yields the lines of a YAML file, with the sources of values as comments on request."""
         yield from self._lines(self.tree, (), sources)
 
     def _walk(self, tree: object, path: KeyPath) -> collections.abc.Iterator[RenderedValue]:
@@ -65,22 +65,22 @@
             yield f"{line}  # {self._source((*path, key))}" if sources else line
 
     def _source(self, path: KeyPath) -> str:
-        # An overlay stands after the base and wins where both state the whole path.
+        # The overlay comes after the base and takes precedence where both state the complete path.
         known = [file for file in self.files if file.depth_known(path) == len(path)]
         if not known:
             return ""
-        line, column = known[-1].value_places[path]
+        line, column = known[-1].value_locations[path]
         return f"{known[-1].file}:{line}:{column}"
 
 
 def show_key(key: str) -> str:
-    """Returns a key as YAML text."""
+    """Returns a key as YAML, quoted where necessary."""
     plain = PLAIN_KEY.fullmatch(key) is not None and key.lower() not in SPECIAL_WORDS
     return key if plain else json.dumps(key, ensure_ascii=False)
 
 
 def render(files: FleetFiles, site: str = "") -> Rendering:
-    """Returns what is in force at a site, or what the base alone says."""
+    """Returns the configuration of a site, or of the base alone."""
     overlay = files.overlays.get(site)
     if overlay is None:
         return Rendering(files.base.values, (files.base,))
--- a/wasabidrum/config/sample_files.py
+++ b/wasabidrum/config/sample_files.py
@@ -48,7 +48,7 @@
 
 
 def write_files(folder: str, base: str, **overlays: str) -> tuple[str, list[str]]:
-    """Writes a base file and overlays by site; returns their paths."""
+    """Writes a base file and the overlays of sites; returns their paths."""
     base_path = pathlib.Path(folder) / "fleet.yaml"
     base_path.write_text(base, encoding="utf-8")
     paths = []
--- a/wasabidrum/config/settings.py
+++ b/wasabidrum/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process: who it is, where it listens, whom it talks to."""
+"""The settings of one process: its identity, where it listens, what it connects to."""
 
 import typing
 
@@ -12,12 +12,12 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a daemon listens; port 0 takes a free one.
+    """Where a daemon listens; port 0 selects a free port.
 
     Attributes:
       caller_port: For callers; entries only.
-      http_port: For the fleet's own requests and chunks.
-      peer_port: For the fleet's control messages.
+      http_port: For HTTP requests and chunks between the fleet's daemons.
+      peer_port: For control messages between the fleet's daemons.
     """
 
     host: str = "127.0.0.1"
@@ -27,7 +27,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """URLs of what the platform gives; an empty store means that there is none."""
+    """URLs of the platform's services; an empty store means that there is no weight store."""
 
     configuration: str
     instances: str
@@ -43,12 +43,12 @@
 
 
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Paths of the PEM files with which the fleet's processes prove who they are.
+    """Paths of the PEM files with which the fleet's processes authenticate each other.
 
     Attributes:
-      certificate: This process's certificate, with any intermediate ones.
+      certificate: This process's certificate, with any intermediate certificates.
       key: The certificate's private key.
-      authority: The certificates of the authority that signs for the whole fleet.
+      authority: The certificates of the authority that signs those of the fleet.
     """
 
     certificate: str
@@ -60,17 +60,17 @@
     """One process's settings.
 
     Attributes:
-      name: The slot that this process fills, as in the fleet's files.
+      name: The name of this process's slot, as in the fleet's files.
       role: "entry" or "sidecar".
-      site: The overlay that applies here.
-      link_mbit: The instance's link rate, each way, in megabits a second.
-      weights_from: "peers"; "origin" and "chain" are the plain ways that benches compare with.
-      chunk_memory_bytes: The most that a sidecar holds of weights for its peers.
+      site: The site, which selects the overlay.
+      link_mbit: The rate of the instance's link in each direction, in megabits per second.
+      weights_from: "peers"; "origin" and "chain" are simple baselines for benchmarks.
+      chunk_memory_bytes: The most memory that a sidecar uses for chunks to serve to its peers.
       drain_seconds: How long a graceful shutdown waits for requests in progress.
-      log_file: Where log lines go; empty for standard error.
-      tls: Mutual TLS between the fleet's processes; none where left out.
-      control: "peers" hears of changes from other daemons; "service" has this daemon watch
-        the platform's service itself, as a baseline for measurements.
+      log_file: The file for log lines; empty for standard error.
+      tls: Mutual TLS between the fleet's processes; disabled where absent.
+      control: With "peers", changes come from other daemons; with "service", this daemon watches
+        the platform's service itself, as a baseline for benchmarks.
     """
 
     name: Name
--- a/wasabidrum/config/settings_file.py
+++ b/wasabidrum/config/settings_file.py
@@ -12,7 +12,7 @@
     """Reads and validates a settings file.
 
     Returns:
-      The settings, or None with every finding.
+      The settings and no findings, or None and all findings.
     """
     tree, findings = read_yaml_file(path)
     if findings:
@@ -21,20 +21,20 @@
         settings = msgspec.convert(tree.values, Settings)
         problems = check_settings(settings)
     except msgspec.ValidationError:
-        # Imported where it is needed: a daemon whose settings are sound never loads it.
+        # Imported only here: a daemon whose settings are valid never loads it.
         from .struct_check import check_struct
 
         problems = check_struct(tree.values, Settings, partial=False)
     if problems:
-        return None, sorted(tree.place(problem) for problem in problems)
+        return None, sorted(tree.locate(problem) for problem in problems)
     return settings, []
 
 
 def check_settings(settings: Settings) -> list[Problem]:
-    """Returns what contradicts itself in settings whose values have the right types."""
+    """Returns the contradictions in settings whose values have the right types."""
     problems = []
     if settings.role == "sidecar" and settings.endpoint is None:
-        message = "a sidecar needs the key endpoint, which says what stands beside it"
+        message = "a sidecar needs the key endpoint, which describes the endpoint beside it"
         problems.append(Problem(("role",), "ENDPOINT-MISSING", message))
     if settings.role == "entry" and settings.endpoint is not None:
         message = "an entry has no endpoint beside it"
--- a/wasabidrum/config/settings_file_test.py
+++ b/wasabidrum/config/settings_file_test.py
@@ -22,22 +22,22 @@
 
 
 class SettingsFileTest(unittest.TestCase):
-    """Settings are accepted whole or refused with every finding."""
+    """Settings are accepted, or refused with all findings."""
 
-    def test_sound_settings(self) -> None:
+    def test_valid_settings(self) -> None:
         settings, findings = read(SETTINGS.encode())
         self.assertEqual(findings, [])
         self.assertEqual(settings.endpoint.kind, "engine")
 
-    def test_every_finding_has_its_place(self) -> None:
-        """A new instance is given a file with several slips. Its log is all that an operator
-        has, so it names them all at the first start."""
+    def test_all_findings_have_their_locations(self) -> None:
+        """The settings file of a new instance has several faults. An operator has only its log, so
+        the first start must report all of them."""
         text = SETTINGS.replace("role: sidecar", "role: sidcar").replace("site: rift-a\n", "")
         text = text.replace("kind: engine", "kind: 7") + "listen: {http_port: 99999, hots: x}\n"
         _, findings = read(text.encode())
-        places = [(finding.line, finding.column, finding.code) for finding in findings]
+        locations = [(finding.line, finding.column, finding.code) for finding in findings]
         self.assertEqual(
-            places,
+            locations,
             [
                 (1, 1, "KEY-MISSING"),
                 (2, 7, "VALUE-UNKNOWN"),
@@ -56,8 +56,8 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300, database=None)
     @hypothesis.given(strategies.integers(0, 300), strategies.binary(max_size=20))
-    def test_spoilt_settings_are_read_or_refused(self, place: int, patch: bytes) -> None:
-        """A file is damaged. The daemon says where instead of dying with a traceback."""
+    def test_corrupted_settings_are_accepted_or_refused(self, place: int, patch: bytes) -> None:
+        """A corrupted file must lead to findings, not to a traceback."""
         content = SETTINGS.encode()
         settings, findings = read(content[:place] + patch + content[place + len(patch) :])
         self.assertNotEqual(settings is None, not findings)
--- a/wasabidrum/config/struct_check.py
+++ b/wasabidrum/config/struct_check.py
@@ -1,7 +1,7 @@
-"""Finds every difference between a tree of values and a struct type, in one pass.
+"""Finds every deviation of a tree of values from a struct type, in one pass.
 
-msgspec's own conversion stops at the first fault. It decides whether a tree is accepted;
-this walk is run where it refuses, or on a file, to tell all that is wrong.
+msgspec's own conversion stops at the first fault. It decides whether a tree is accepted; this
+check runs where it fails, and on overlays, to report all faults.
 """
 
 import functools
@@ -13,13 +13,13 @@
 
 from .problem import KeyPath, Problem, show_path
 
-NEAREST_CUTOFF = 0.6
+SIMILARITY_CUTOFF = 0.6
 
 
 class StructCheck:
     """Collects the problems of one tree.
 
-    With `partial` the tree is an overlay: keys may be missing, and null removes.
+    With partial, the tree is an overlay: keys may be missing, and null removes a key.
     """
 
     __slots__ = ("problems", "_partial")
@@ -29,13 +29,13 @@
         self._partial = partial
 
     def check(self, value: object, kind: inspect.Type, path: KeyPath) -> None:
-        """Compares one value with its type."""
+        """Checks one value against its type."""
         if value is None and self._partial and path:
             return
         CHECKS[type(kind)](self, value, kind, path)
 
     def check_struct(self, value: object, kind: inspect.StructType, path: KeyPath) -> None:
-        """Compares a map with a struct: unknown keys, missing keys, then each value."""
+        """Checks a map against a struct: unknown keys, missing keys, then each value."""
         if not isinstance(value, dict):
             self._wrong_type(value, "a map", path)
             return
@@ -50,7 +50,7 @@
                 self._add(path, "KEY-MISSING", f"{show_path(path)} lacks the key {name}")
 
     def check_map(self, value: object, kind: inspect.DictType, path: KeyPath) -> None:
-        """Compares each value of a map of free names."""
+        """Checks each value of a map with arbitrary keys."""
         if not isinstance(value, dict):
             self._wrong_type(value, "a map", path)
             return
@@ -58,7 +58,7 @@
             self.check(item, kind.value_type, path + (key,))
 
     def check_list(self, value: object, kind: inspect.VarTupleType, path: KeyPath) -> None:
-        """Compares each item of a list."""
+        """Checks each item of a list."""
         if not isinstance(value, (list, tuple)):
             self._wrong_type(value, "a list", path)
             return
@@ -69,14 +69,14 @@
                 self.check(item, kind.item_type, path + (index,))
 
     def check_text(self, value: object, kind: inspect.StrType, path: KeyPath) -> None:
-        """Compares text with its pattern. The text is not repeated: it may be a secret."""
+        """Checks a text against its pattern. The message omits the text, which may be a secret."""
         if not isinstance(value, str):
             self._wrong_type(value, "text", path)
         elif kind.pattern is not None and re.search(kind.pattern, value) is None:
             self._add(path, "VALUE-FORM", f"{show_path(path)} must match {kind.pattern}")
 
     def check_number(self, value: object, kind: inspect.IntType, path: KeyPath) -> None:
-        """Compares a number with its range."""
+        """Checks a number against its range."""
         whole = isinstance(kind, inspect.IntType)
         if isinstance(value, bool) or not isinstance(value, int if whole else (int, float)):
             self._wrong_type(value, "a whole number" if whole else "a number", path)
@@ -90,25 +90,25 @@
             self._add(path, "VALUE-RANGE", message)
 
     def check_flag(self, value: object, kind: inspect.BoolType, path: KeyPath) -> None:
-        """Compares with true and false."""
+        """Checks that a value is true or false."""
         if not isinstance(value, bool):
             self._wrong_type(value, "true or false", path)
 
     def check_choice(self, value: object, kind: inspect.Type, path: KeyPath) -> None:
-        """Compares with the names that an enumeration or a literal allows."""
+        """Checks that a value is one that an enumeration or a literal allows."""
         allowed = list(kind.values) if isinstance(kind, inspect.LiteralType) else list(kind.cls)
         if value not in allowed:
             message = f"{show_path(path)} must be one of {', '.join(map(str, allowed))}"
             self._add(path, "VALUE-UNKNOWN", message + suggest(str(value), map(str, allowed)))
 
     def check_union(self, value: object, kind: inspect.UnionType, path: KeyPath) -> None:
-        """Compares with the type that stands beside None, the only unions in use."""
+        """Checks an optional value; unions of a type with None are the only ones in use."""
         if value is not None:
             (other,) = (one for one in kind.types if not isinstance(one, inspect.NoneType))
             self.check(value, other, path)
 
     def check_any(self, value: object, kind: inspect.Type, path: KeyPath) -> None:
-        """Accepts whatever there is."""
+        """Accepts any value."""
 
     def _unknown_key(self, key: str, known: list[str], path: KeyPath) -> None:
         message = f"{show_path(path)} has no key {key}" + suggest(key, known)
@@ -139,23 +139,23 @@
 
 
 def suggest(given: str, known: typing.Iterable[str]) -> str:
-    """Returns "; did you mean ...?" where a known name is close, else nothing."""
-    # Imported where it is needed, so that a daemon with good files does not hold it.
+    """Returns "; did you mean ...?" where a known name is similar, else an empty text."""
+    # Imported only here, so that a daemon with valid files does not load it.
     import difflib
 
-    nearest = difflib.get_close_matches(given, list(known), 1, NEAREST_CUTOFF)
+    nearest = difflib.get_close_matches(given, list(known), 1, SIMILARITY_CUTOFF)
     return f"; did you mean {nearest[0]}?" if nearest else ""
 
 
 def describe(value: object) -> str:
-    """Returns what kind of value this is, without repeating it."""
+    """Returns the kind of a value, without the value itself."""
     names = {dict: "a map", list: "a list", str: "text", bool: "true or false", int: "a number"}
     names |= {float: "a number", type(None): "nothing"}
     return names.get(type(value), type(value).__name__)
 
 
 def describe_range(kind: inspect.IntType | inspect.FloatType) -> str:
-    """Returns a number's range in words."""
+    """Returns the range of a number in words."""
     words = {"ge": "at least", "gt": "more than", "le": "at most", "lt": "less than"}
     bounds = [(words[name], getattr(kind, name)) for name in words]
     return " and ".join(f"{word} {bound}" for word, bound in bounds if bound is not None)
@@ -163,12 +163,12 @@
 
 @functools.cache
 def describe_type(struct: type) -> inspect.Type:
-    """Returns the description of a struct type that the walk follows."""
+    """Returns msgspec's description of a struct type."""
     return inspect.type_info(struct)
 
 
 def check_struct(tree: object, struct: type[msgspec.Struct], partial: bool) -> list[Problem]:
-    """Returns every difference between a tree and a struct type."""
+    """Returns every deviation of a tree from a struct type."""
     walk = StructCheck(partial)
     walk.check(tree, describe_type(struct), ())
     return walk.problems
--- a/wasabidrum/config/tree_check.py
+++ b/wasabidrum/config/tree_check.py
@@ -1,12 +1,12 @@
-"""Checks that need the files' trees, because they ask what was stated and where."""
+"""Checks on the trees of the files, which show what each file itself states."""
 
 import collections.abc
 
 from .problem import KeyPath, Problem, show_path
 
-# What one site may state otherwise than the base; everything else holds for the whole fleet.
-# A version's bytes, or whether a call is idempotent, must not depend on which site is asked:
-# one name would stand for two contents, and a call that one site repeats would run twice.
+# The sections that an overlay may change; all others apply to the whole fleet. A version's content,
+# or whether a call is idempotent, must not differ between sites: one name would identify two
+# contents, and a call that only one site treats as idempotent could run twice.
 SITE_SECTIONS = frozenset(("models", "endpoints", "workspaces", "links", "limits"))
 SITE_MODEL_FORBIDDEN = frozenset(("versions", "adapters"))
 
@@ -14,7 +14,7 @@
 
 
 def walk_maps(tree: Tree, section: str) -> collections.abc.Iterator[tuple[str, Tree]]:
-    """Yields name and map of each part of a section, leaving out what has another type."""
+    """Yields the name and map of each part of a section, skipping values of other types."""
     parts = tree.get(section)
     for name, part in parts.items() if isinstance(parts, dict) else ():
         if isinstance(part, dict):
@@ -22,20 +22,20 @@
 
 
 def check_base(base: Tree) -> collections.abc.Iterator[Problem]:
-    """Yields what the base leaves unsaid that must be said, and null values."""
+    """Yields the calls of services that do not state in the base whether they are idempotent."""
     for name, service in walk_maps(base, "services"):
         calls = service.get("calls")
         for index, call in enumerate(calls if isinstance(calls, list) else ()):
             if isinstance(call, dict) and "idempotent" not in call:
-                # A read listed without it would never be retried, and a charge listed
-                # with a wrong guess would run twice; so the files must say which it is.
+                # With a default of false, a read would never be retried; with a default of true, a
+                # charge could run twice. So the files must state it.
                 message = f"the call {call.get('path')} of {name} must say whether it is idempotent"
                 path = ("services", name, "calls", index)
                 yield Problem(path, "CALL-IDEMPOTENCY", message)
 
 
 def check_overlay(base: Tree, overlay: Tree) -> collections.abc.Iterator[Problem]:
-    """Yields what an overlay states that only the base may state."""
+    """Yields what only the base may state, and removals of keys that the base does not have."""
     for section in overlay:
         if section not in SITE_SECTIONS:
             message = f"{section} holds for the whole fleet; only the base may state it"
@@ -50,7 +50,7 @@
 def check_removals(
     base: object, overlay: object, path: KeyPath
 ) -> collections.abc.Iterator[Problem]:
-    """Yields each null that removes nothing, which is a misspelt name more often than not."""
+    """Yields each null whose key the base does not have, usually a misspelt name."""
     if not isinstance(overlay, dict):
         return
     for key, value in overlay.items():
@@ -61,10 +61,10 @@
         yield from check_removals(inner, value, (*path, key))
 
 
-def check_places(
+def check_endpoint_regions(
     base: Tree, overlays: dict[str, Tree]
 ) -> collections.abc.Iterator[tuple[str, Problem]]:
-    """Yields each endpoint that the base and the overlays put in two regions, with the site."""
+    """Yields, with the site, each endpoint that the files put in two different regions."""
     first: dict[str, tuple[str, object]] = {}
     for site, tree in (("", base), *sorted(overlays.items())):
         for name, endpoint in walk_maps(tree, "endpoints"):
--- a/wasabidrum/config/yaml_file.py
+++ b/wasabidrum/config/yaml_file.py
@@ -1,7 +1,7 @@
-"""Reads YAML into plain values with their places, and refuses what could do harm.
+"""Reads YAML into plain values with their locations, and refuses harmful input.
 
-A file that is cut off, that is endless through aliases, or that names a key twice is
-refused here, with the line at which an operator can see why.
+A file that is truncated, that expands without end through aliases, or that states a key twice is
+refused with the line of the fault.
 """
 
 import math
@@ -9,32 +9,32 @@
 import yaml
 
 from ..core.finding import Finding
-from .placed_tree import PlacedTree
+from .located_tree import LocatedTree
 from .problem import KeyPath
 
-LARGEST_FILE_BYTES = 4 * 1_048_576
-LARGEST_VALUE_COUNT = 500_000
-DEEPEST_NESTING = 32
+MAX_FILE_BYTES = 4 * 1_048_576
+MAX_VALUE_COUNT = 500_000
+MAX_NESTING_DEPTH = 32
 TAG_PREFIX = "tag:yaml.org,2002:"
 PLAIN_TAGS = frozenset(("int", "float", "bool", "null"))
 
 
 class YamlReader:
-    """Turns the nodes of one file into values, noting places and faults."""
+    """Converts the nodes of one file to values, and records locations and faults."""
 
     __slots__ = ("findings", "_file", "_tree", "_constructor", "_count")
 
     def __init__(self, file: str) -> None:
         self.findings: list[Finding] = []
         self._file = file
-        self._tree = PlacedTree(file, {})
+        self._tree = LocatedTree(file, {})
         self._constructor = yaml.constructor.SafeConstructor()
         self._count = 0
 
-    def read(self, content: bytes) -> PlacedTree:
-        """Reads a file's content; the findings tell whether the values can be used."""
-        if len(content) > LARGEST_FILE_BYTES:
-            message = f"{len(content)} bytes; the most is {LARGEST_FILE_BYTES}"
+    def read(self, content: bytes) -> LocatedTree:
+        """Reads the content of a file; the values may be used only if there are no findings."""
+        if len(content) > MAX_FILE_BYTES:
+            message = f"{len(content)} bytes; the most is {MAX_FILE_BYTES}"
             self._report(None, "FILE-TOO-LARGE", message)
             return self._tree
         try:
@@ -51,7 +51,7 @@
             self._report(mark, "NOT-A-MAP", "the file must be a map of keys to values")
             return self._tree
         start = root.start_mark
-        self._tree.value_places[()] = (start.line + 1, start.column + 1)
+        self._tree.value_locations[()] = (start.line + 1, start.column + 1)
         self._tree.values = self._read_map(root, ())
         return self._tree
 
@@ -61,18 +61,18 @@
 
     def _read_value(self, node: yaml.Node, path: KeyPath) -> object:
         mark = node.start_mark
-        self._tree.value_places[path] = (mark.line + 1, mark.column + 1)
+        self._tree.value_locations[path] = (mark.line + 1, mark.column + 1)
         self._count += 1
-        # Aliases of aliases make a small file stand for billions of values. Reading them
-        # out would fill the memory, which an operator sees as a tool or daemon that is
-        # killed; counting each value where it is used stops that early.
-        if self._count == LARGEST_VALUE_COUNT:
-            self._report(mark, "TOO-MANY-VALUES", f"more than {LARGEST_VALUE_COUNT} values")
-        if self._count >= LARGEST_VALUE_COUNT:
+        # Through aliases of aliases, a small file can expand to billions of values. They would
+        # exhaust the memory, and the tool or daemon would be killed. Counting each value where it
+        # is used stops the expansion early.
+        if self._count == MAX_VALUE_COUNT:
+            self._report(mark, "TOO-MANY-VALUES", f"more than {MAX_VALUE_COUNT} values")
+        if self._count >= MAX_VALUE_COUNT:
             return None
-        if len(path) > DEEPEST_NESTING:
-            self._report(mark, "NESTED-TOO-DEEP", f"more than {DEEPEST_NESTING} levels")
-            self._count = LARGEST_VALUE_COUNT
+        if len(path) > MAX_NESTING_DEPTH:
+            self._report(mark, "NESTED-TOO-DEEP", f"more than {MAX_NESTING_DEPTH} levels")
+            self._count = MAX_VALUE_COUNT
             return None
         if isinstance(node, yaml.MappingNode):
             return self._read_map(node, path)
@@ -91,10 +91,10 @@
                 continue
             key = key_node.value
             if key in values:
-                first = self._tree.key_places[path + (key,)]
+                first = self._tree.key_locations[path + (key,)]
                 self._report(mark, "KEY-TWICE", f"{key} is stated before, at line {first[0]}")
                 continue
-            self._tree.key_places[path + (key,)] = (mark.line + 1, mark.column + 1)
+            self._tree.key_locations[path + (key,)] = (mark.line + 1, mark.column + 1)
             values[key] = self._read_value(value_node, path + (key,))
         return values
 
@@ -115,23 +115,23 @@
         return value
 
 
-def read_yaml(file: str, content: bytes) -> tuple[PlacedTree, list[Finding]]:
+def read_yaml(file: str, content: bytes) -> tuple[LocatedTree, list[Finding]]:
     """Reads YAML text.
 
     Returns:
-      The values with their places, and the faults of the text itself. With any fault the
-      values are incomplete and must not be used further.
+      The values with their locations, and the faults of the text itself. If there are any, the
+      values are incomplete and must not be used.
     """
     reader = YamlReader(file)
     return reader.read(content), reader.findings
 
 
-def read_yaml_file(path: str) -> tuple[PlacedTree, list[Finding]]:
-    """Reads a YAML file; one that cannot be read is a finding as well."""
+def read_yaml_file(path: str) -> tuple[LocatedTree, list[Finding]]:
+    """Reads a YAML file; a file that cannot be read gives a finding."""
     try:
         with open(path, "rb") as stream:
-            content = stream.read(LARGEST_FILE_BYTES + 1)
+            content = stream.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         reason = error.strerror or str(error)
-        return PlacedTree(path, {}), [Finding(path, 0, 0, "FILE-UNREADABLE", reason)]
+        return LocatedTree(path, {}), [Finding(path, 0, 0, "FILE-UNREADABLE", reason)]
     return read_yaml(path, content)
--- a/wasabidrum/core/__init__.py
+++ b/wasabidrum/core/__init__.py
@@ -1,1 +1,1 @@
-"""Plain typed data that every other package shares; nothing here does I/O."""
+"""Data types and small helpers that all other packages share; nothing here does I/O."""
--- a/wasabidrum/core/awake_clock.py
+++ b/wasabidrum/core/awake_clock.py
@@ -1,13 +1,13 @@
-"""The clock by which the age of what a process believes is measured."""
+"""The clock that measures the age of a process's knowledge, suspension included."""
 
 import time
 
 
 def awake_seconds() -> float:
-    """Returns seconds that go on counting while the instance is suspended.
+    """Returns a monotonic time in seconds that includes time spent suspended.
 
-    The event loop's clock stands still while an instance is suspended. By it, a process that
-    wakes after a minute would take what it read a minute ago for fresh, and let a key that was
-    taken away meanwhile pass.
+    The event loop's clock stops while an instance is suspended. Measured by it, data read before
+    a suspension of a minute would count as fresh afterwards, and a key that was revoked meanwhile
+    would be accepted.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/wasabidrum/core/background_tasks.py
+++ b/wasabidrum/core/background_tasks.py
@@ -1,11 +1,11 @@
-"""Background tasks of a daemon, which must not die unseen."""
+"""Background tasks of a daemon, whose failures must be reported."""
 
 import asyncio
 import collections.abc
 
 
 class BackgroundTasks:
-    """Starts tasks, reports those that fail, and ends them all together."""
+    """Starts tasks, reports those that fail, and cancels all of them together."""
 
     __slots__ = ("_tasks", "_on_failure")
 
@@ -14,7 +14,7 @@
         self._on_failure = on_failure
 
     def start(self, name: str, work: collections.abc.Coroutine) -> asyncio.Task:
-        """Starts a task that runs until it ends or the daemon does."""
+        """Starts a task, which runs until it ends or cancel_all is called."""
         task = asyncio.get_running_loop().create_task(work, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._finish)
--- a/wasabidrum/core/config_value.py
+++ b/wasabidrum/core/config_value.py
@@ -1,11 +1,11 @@
-"""A value as the configuration service published it."""
+"""A value of the configuration service."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigValue:
-    """The bytes of one published revision and the digest of those bytes."""
+    """The content of one published revision, and the digest of that content."""
 
     revision: int
     digest: str
--- a/wasabidrum/core/digest.py
+++ b/wasabidrum/core/digest.py
@@ -1,4 +1,4 @@
-"""Content addresses: the hexadecimal SHA-256 of the bytes that they name."""
+"""Content addresses: the hexadecimal SHA-256 digest of the content."""
 
 import hashlib
 import typing
@@ -9,5 +9,5 @@
 
 
 def digest_of(content: bytes | memoryview) -> str:
-    """Returns the content address of some bytes."""
+    """Returns the content address of some content."""
     return hashlib.sha256(content).hexdigest()
--- a/wasabidrum/core/engine_report.py
+++ b/wasabidrum/core/engine_report.py
@@ -1,20 +1,20 @@
-"""What an engine says of itself, and what a list of weights says of a version."""
+"""An engine's report of its own state, and the list of the pieces of a version."""
 
 import msgspec
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An engine's own account.
+    """An engine's report of its own state.
 
     Attributes:
-      model: The model that it holds, empty for none.
-      weights: The version that it answers with, zero where it holds no whole one.
-      busy: An order is in progress.
+      model: The model that it holds, or empty.
+      weights: The version that it answers with, or zero where it holds no complete one.
+      busy: Whether an order is in progress.
       orders: How many orders it has accepted since it started.
       running: Requests that hold a slot.
-      queued: Requests that wait for one.
-      pace: How much slower than published it works; one is as published.
-      started_at: Unix milliseconds of its start; zero where it was not told.
+      queued: Requests that wait for a slot.
+      pace: By what factor it is slower than its published figures; one means as published.
+      started_at: When it started, in Unix milliseconds; zero where unknown.
     """
 
     model: str = ""
@@ -28,7 +28,7 @@
 
 
 class PieceList(msgspec.Struct, frozen=True):
-    """The digests of a version's pieces, in order."""
+    """The digests of the pieces of a version, in order."""
 
     model: str
     version: int
--- a/wasabidrum/core/errors.py
+++ b/wasabidrum/core/errors.py
@@ -1,4 +1,4 @@
-"""The exception that every package raises: a stable code, an outcome and a retry hint."""
+"""The exception type of all packages: a stable code, an outcome and a retry hint."""
 
 from .outcome import Outcome
 
@@ -9,8 +9,8 @@
     Attributes:
       code: A stable lower-case name, listed in docs/CALLERS.md.
       http_status: The status of the reply that carries this error.
-      outcome: What the caller may conclude about its request.
-      retry_after: Seconds after which asking again may help, or None.
+      outcome: What is known of the execution of the caller's request.
+      retry_after: Seconds after which a retry may succeed, or None.
       idempotency_key: With UNKNOWN, the key under which a resend learns the result; with
         NOT_RUN, a new key under which the call may be sent; else empty.
     """
--- a/wasabidrum/core/finding.py
+++ b/wasabidrum/core/finding.py
@@ -1,11 +1,11 @@
-"""A fault found in a file, with its place."""
+"""A fault found in a file, with its location."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One fault. Lines and columns count from one; zero means that the place is unknown."""
+    """One fault. Lines and columns count from one; zero means that the location is unknown."""
 
     file: str
     line: int
--- a/wasabidrum/core/fleet.py
+++ b/wasabidrum/core/fleet.py
@@ -1,7 +1,7 @@
 """The configuration in force at one site, as typed data.
 
-docs/CONFIGURATION.md explains each key; a test holds that page and these types equal. A new
-key comes with a new schema number, so that two versions of the daemon accept alike.
+docs/CONFIGURATION.md describes each key; a test compares that page with these types. Adding a key
+requires a new schema number, so that daemons of different versions accept the same values.
 """
 
 import typing
@@ -24,14 +24,14 @@
 
 
 class ModelSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A model, the version that is to be in force, and every version that may be.
+    """A model, the version that is to be in force, and all versions that can be selected.
 
     Attributes:
-      version: The version wanted in force.
+      version: The version that is to be in force.
       versions: Every version that the origin has, by name.
-      adapters: Adapters by name; each is content like a version, and small.
-      away_fraction: How large a part of the model's endpoints may switch at once.
-      soak_seconds: How long the first endpoint must stay up before others follow.
+      adapters: Adapters by name; each is stored like a version, and small.
+      away_fraction: The fraction of the model's endpoints that may switch versions at once.
+      soak_seconds: How long the first endpoint must run the version before others follow.
     """
 
     version: str
@@ -42,13 +42,13 @@
 
 
 class EndpointSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An endpoint, by the name of the slot that its instance fills.
+    """An endpoint, listed under the name of its instance's slot.
 
     Attributes:
       model: The model that it serves, or empty for a plain service.
       service: The plain service that it runs, or empty for a model engine.
       role: "mixed", "prefill" or "decode".
-      fencing: Whether it refuses orders with an old fencing number.
+      fencing: Whether it refuses orders with an outdated fencing token.
     """
 
     region: str
@@ -72,20 +72,20 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A plain service and what is known of its calls."""
+    """A plain service and the properties of its calls."""
 
     calls: tuple[ServiceCall, ...] = ()
 
 
 class WorkspaceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A workspace: who its callers are, what they may reach, and its share.
+    """A workspace: its callers' keys, what they may call, and its share of the capacity.
 
     Attributes:
       key_digests: SHA-256 digests of the bearer keys, in hexadecimal.
       models: The models that it may call.
       services: The plain services that it may call.
-      share: Its weight beside other workspaces when there is too little for all.
-      tokens_per_second: The most it may generate, or zero for no limit of its own.
+      share: Its weight among the workspaces when capacity is short.
+      tokens_per_second: The maximum that it may generate, or zero for no limit of its own.
     """
 
     key_digests: tuple[Digest, ...]
@@ -96,10 +96,10 @@
 
 
 class LinkSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Link rates in megabits a second, and the parts that weights may use.
+    """Link rates in megabits per second, and the fractions of them that weights may use.
 
     Attributes:
-      origin_region: The region in which the origin stands, or empty where none is nearer.
+      origin_region: The region of the origin, or empty where no region is nearer to it.
     """
 
     between_regions_mbit: Positive = 13.0
@@ -110,7 +110,7 @@
 
 
 class LimitSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on what one caller may send and how long it may take."""
+    """Limits on the size and the deadline of one caller's request."""
 
     body_bytes: Size = 1_048_576
     default_deadline_seconds: Positive = 30.0
@@ -118,7 +118,7 @@
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that the files say for one site: the base with the site's overlay applied."""
+    """The configuration of one site: the base with the site's overlay applied."""
 
     schema: int
     models: dict[str, ModelSpec] = {}
@@ -133,9 +133,9 @@
     """A fleet configuration with the revision that published it.
 
     Attributes:
-      revision: Grows with each publication; also the fencing number of orders.
+      revision: Increases with each publication; also the fencing token of orders.
       digest: The digest of the published value, the same at every site.
-      fleet: What is in force at this site.
+      fleet: The configuration of this site.
     """
 
     revision: int
--- a/wasabidrum/core/instance.py
+++ b/wasabidrum/core/instance.py
@@ -6,7 +6,7 @@
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform's list says of an instance; the list lags behind the truth."""
+    """The state of an instance in the platform's list, which lags behind the actual state."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,8 +22,8 @@
 class Instance(msgspec.Struct, frozen=True):
     """An instance and where its daemon listens.
 
-    A replaced instance keeps the name of its slot and differs in its addresses and in the
-    incarnation that its daemon tells of itself.
+    An instance that replaces another has the same name, that of their slot. Its addresses and the
+    incarnation that its daemon reports differ.
     """
 
     name: str
@@ -37,7 +37,7 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """The platform's list as of some moment, in seconds since the epoch."""
+    """The platform's list; as_of is its time in seconds since the epoch."""
 
     as_of: float
     instances: tuple[Instance, ...]
--- a/wasabidrum/core/listed_endpoint.py
+++ b/wasabidrum/core/listed_endpoint.py
@@ -4,15 +4,15 @@
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """One run of an endpoint.
+    """One run of an endpoint, as listed by the platform.
 
     Attributes:
-      id: Names the endpoint; one that restarts may keep it.
-      started_at: Unix milliseconds of this run's start; zero where it was not told.
-      leaving: It takes no new work.
-      slots: Requests that it runs at once.
-      model: The model that it holds, empty where it holds none.
-      weights: The version of the weights that it answers with, zero for none.
+      id: Identifies the endpoint; it may stay the same across restarts.
+      started_at: When this run started, in Unix milliseconds; zero where unknown.
+      leaving: Whether it accepts no new requests.
+      slots: The maximum number of requests that it runs at once.
+      model: The model that it holds, or empty.
+      weights: The version of the weights that it holds, or zero.
       whole: Whether it holds every layer of that version.
     """
 
--- a/wasabidrum/core/load.py
+++ b/wasabidrum/core/load.py
@@ -1,17 +1,17 @@
-"""What an endpoint reports of its load."""
+"""The load that an endpoint reports."""
 
 import msgspec
 
 
 class Load(msgspec.Struct, frozen=True):
-    """Load of one endpoint, reported late.
+    """The load of one endpoint, as of a somewhat earlier time.
 
     Attributes:
       running: Requests that hold a slot.
       waiting: Requests that wait for a slot.
-      slots: Requests that can run at once.
-      tokens_per_second: What the endpoint generated lately, summed over its requests.
-      pace: How much slower than published the endpoint works; one is as published.
+      slots: The maximum number of requests that run at once.
+      tokens_per_second: The recent rate of generation, summed over its requests.
+      pace: By what factor it is slower than its published figures; one means as published.
     """
 
     running: int = 0
--- a/wasabidrum/core/manifest.py
+++ b/wasabidrum/core/manifest.py
@@ -1,8 +1,8 @@
-"""The list of chunks that makes up one version of a model.
+"""The list of the chunks of one version of a model.
 
-The configuration publishes only the digest of the encoded manifest, because the list of
-a large model would not fit in a value of a megabyte. The manifest itself travels as
-verified content, like any chunk.
+The configuration publishes only the digest of the encoded manifest, because the list of a large
+model exceeds the limit of a megabyte on a published value. The manifest itself is transferred as
+content verified by its digest, like any chunk.
 """
 
 import typing
@@ -15,19 +15,19 @@
 
 
 class Manifest(msgspec.Struct, frozen=True):
-    """The chunks of a version, in order. Every chunk but the last has chunk_bytes bytes."""
+    """The chunks of a version, in order. All but the last have chunk_bytes bytes."""
 
     chunk_bytes: typing.Annotated[int, msgspec.Meta(ge=1)]
     total_bytes: typing.Annotated[int, msgspec.Meta(ge=0)]
     chunks: tuple[Digest, ...]
 
     def size_of(self, index: int) -> int:
-        """Returns the number of bytes in the chunk at an index."""
+        """Returns the size in bytes of the chunk at an index."""
         return min(self.chunk_bytes, self.total_bytes - index * self.chunk_bytes)
 
 
 def build_manifest(content: bytes, chunk_bytes: int) -> Manifest:
-    """Splits a version's bytes into chunks and returns their manifest."""
+    """Splits the content of a version into chunks and returns their manifest."""
     view = memoryview(content)
     chunks = tuple(
         digest_of(view[start : start + chunk_bytes])
@@ -37,26 +37,26 @@
 
 
 def manifest_of(pieces: PieceList) -> Manifest:
-    """Returns the manifest of a version whose pieces are listed."""
+    """Converts the list of a version's pieces to a manifest."""
     total = pieces.piece_bytes * len(pieces.digests)
     return Manifest(pieces.piece_bytes, total, pieces.digests)
 
 
 def root_of(manifest: Manifest) -> str:
-    """Returns the digest that names a version's content, the same at every process."""
+    """Returns the digest that identifies the content of a version."""
     return digest_of(encode_manifest(manifest))
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Returns the bytes whose digest the configuration publishes as the version's root."""
+    """Returns the encoding whose digest the configuration publishes as the root of a version."""
     return msgspec.json.encode(manifest)
 
 
 def decode_manifest(content: bytes, root: str) -> Manifest:
-    """Decodes a manifest that came from anywhere.
+    """Verifies and decodes a manifest from an untrusted source.
 
     Raises:
-      CodedError: The bytes are not those that the root names, or are not a manifest.
+      CodedError: The content does not have the digest root, or is not a valid manifest.
     """
     if digest_of(content) != root:
         raise CodedError("manifest_corrupt", "the manifest does not match its root digest")
--- a/wasabidrum/core/manifest_fuzz_test.py
+++ b/wasabidrum/core/manifest_fuzz_test.py
@@ -1,4 +1,4 @@
-"""Fuzzes what reads a manifest."""
+"""Fuzz tests of decoding a manifest."""
 
 import unittest
 
@@ -16,14 +16,14 @@
 
 
 class ManifestFuzzTest(unittest.TestCase):
-    """Whatever an origin publishes under a root, a manifest is sound or refused."""
+    """Any content with the right digest is decoded to a consistent manifest, or refused."""
 
     @FUZZ
     @hypothesis.given(SIZES, SIZES, CHUNKS)
-    def test_sizes_that_do_not_add_up(self, chunk: int, total: int, chunks: list[str]) -> None:
-        """A version was published by broken software: sizes are negative or do not fit the
-        chunks, or a chunk's digest is a path. A sidecar that believed it would ask its peers
-        for that path, or wait for chunks that do not exist."""
+    def test_inconsistent_sizes(self, chunk: int, total: int, chunks: list[str]) -> None:
+        """Faulty software published a version whose sizes are negative or do not agree with the
+        chunks, or whose digests are paths. A sidecar that accepted it would request that path
+        from its peers, or wait for chunks that do not exist."""
         content = msgspec.json.encode(
             {"chunk_bytes": chunk, "total_bytes": total, "chunks": chunks}
         )
@@ -39,8 +39,8 @@
 
     @FUZZ
     @hypothesis.given(strategies.binary(max_size=100), strategies.integers(0, 200))
-    def test_bytes_of_any_kind(self, patch: bytes, place: int) -> None:
-        """The origin's copy of a manifest was damaged before its digest was taken."""
+    def test_corrupted_bytes(self, patch: bytes, place: int) -> None:
+        """A manifest was corrupted at the origin before its digest was computed."""
         content = bytearray(encode_manifest(Manifest(10, 15, (digest_of(b"x"), digest_of(b"x")))))
         content[place : place + len(patch)] = patch
         with self.subTest(content=bytes(content)):
--- a/wasabidrum/core/outcome.py
+++ b/wasabidrum/core/outcome.py
@@ -1,14 +1,14 @@
-"""What a caller may conclude about a request that was not answered whole."""
+"""What is known of the execution of a request that was not answered completely."""
 
 import enum
 
 
 class Outcome(enum.StrEnum):
-    """The truth about one request.
+    """How far one request was executed.
 
-    NOT_RUN is said only where it is proved: no endpoint started the request and none
-    ever will. UNKNOWN says that nobody can prove either. FAILED says that an endpoint
-    ran it and it ended in an error.
+    NOT_RUN is reported only where it is certain that no endpoint started the request and that none
+    will. FAILED means that an endpoint executed it and it ended in an error. UNKNOWN means that
+    neither is certain.
     """
 
     DONE = "done"
--- a/wasabidrum/core/placing_limit.py
+++ b/wasabidrum/core/placing_limit.py
@@ -1,15 +1,15 @@
-"""Until when an entry places requests on weights that a newer version replaces."""
+"""The time after which an entry no longer places requests on a replaced version."""
 
 import msgspec
 
 
 class PlacingLimit(msgspec.Struct, frozen=True):
-    """A version that was named, and when requests are no longer placed on older ones.
+    """A version of a model, and when requests are no longer placed on older ones.
 
     Attributes:
-      seconds: From when this was told until the entry places nothing more on older versions; zero
-        or less where it has stopped.
-      put_off: By how many whole seconds an outage of the store has put that off.
+      seconds: The time from this report until the entry stops placing requests on older versions;
+        zero or less where it has stopped.
+      put_off: By how many whole seconds an outage of the store has delayed that.
     """
 
     model: str
--- a/wasabidrum/core/published.py
+++ b/wasabidrum/core/published.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform publishes, as typed data."""
+"""The operator's configuration that the platform publishes, as typed data."""
 
 import msgspec
 
@@ -6,24 +6,24 @@
 
 
 class EngineFigures(msgspec.Struct, frozen=True):
-    """How fast the engines of a service work, as published.
+    """Published performance figures of the engines of a service.
 
     Attributes:
-      slots: Requests that run at once.
-      step: Seconds for one token of every running request.
-      step_per_request: Seconds more for each running request.
-      step_per_thousand_context: Seconds more for each thousand tokens of context.
-      read_rate: Prompt tokens read in a second.
-      read_per_million_pairs: Seconds for a million pairs of a token and an earlier one.
-      read_chunk: The most prompt tokens that are read between two steps.
-      stride: Steps that run between two looks at the queue.
-      memory_tokens: Tokens that fit in an engine's memory.
+      slots: The maximum number of requests that run at once.
+      step: Base duration in seconds of a step, which gives each running request one token.
+      step_per_request: Additional seconds of a step for each running request.
+      step_per_thousand_context: Additional seconds of a step for each thousand tokens of context.
+      read_rate: Prompt tokens read per second (prefill).
+      read_per_million_pairs: Seconds of prefill for a million pairs of a token and an earlier one.
+      read_chunk: The maximum of prompt tokens that are read between two steps.
+      stride: Steps between two checks of the queue for waiting requests.
+      memory_tokens: Tokens whose context fits in an engine's memory.
       usual_prompt: Mean tokens of a prompt.
       usual_answer: Mean tokens of an answer.
-      layers: Layers of the model.
-      chunk_count: Parts that the model's weights are cut into.
-      chunk_bytes: Bytes of each part.
-      report_lag: How old an engine's account of itself is when it is read, in seconds.
+      layers: Number of layers of the model.
+      chunk_count: Number of chunks of the model's weights.
+      chunk_bytes: Size of each chunk.
+      report_lag: The age in seconds of an engine's report when it is read.
     """
 
     slots: int = 1
@@ -44,14 +44,14 @@
 
 
 class PublishedService(msgspec.Struct, frozen=True):
-    """A service that routes send to, or the origin of weights.
+    """A service that is the target of routes, or the origin of weights.
 
     Attributes:
       engine: None for a plain service.
       models: The models that its engines run.
-      most_connections: Connections that one endpoint takes from all callers together.
-      data_centre: Where the origin stands; empty for other services.
-      origin: Host and port of the origin where this service gives weights, else empty.
+      most_connections: The maximum number of connections to one endpoint, all callers included.
+      data_centre: The data centre of the origin; empty for other services.
+      origin: Host and port where this service is the origin of weights, else None.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle, in seconds."""
+    """Limits on the size of a caller's request, and timeouts in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -73,10 +73,10 @@
 
 
 class WorkspaceKeys(msgspec.Struct, frozen=True):
-    """A workspace: its callers' keys and its rank.
+    """A workspace: its callers' keys and its priority.
 
     Attributes:
-      priority: Goes before that of the route; None where the route's counts.
+      priority: Overrides the priority of the route; None keeps that of the route.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 
 class PublishedConfiguration(msgspec.Struct, frozen=True):
-    """All that one published version says."""
+    """The content of one published version of the configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/wasabidrum/core/request_head.py
+++ b/wasabidrum/core/request_head.py
@@ -1,4 +1,4 @@
-"""A caller's request as its head tells it, and what is told of an endpoint's answer."""
+"""The decoded heads of a caller's request and of an endpoint's answer."""
 
 import dataclasses
 
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestHead:
-    """What a caller asks.
+    """The head of a caller's request.
 
     Attributes:
-      target: Path and query as the caller wrote them.
-      deadline: Seconds that the caller waits; None where it did not say.
+      target: Path and query as received.
+      deadline: The seconds that the caller waits, or None where not stated.
       key: The caller's bearer key, or empty.
-      prompt_tokens: Tokens of the prompt; zero where it was not told.
-      most_tokens: The most tokens of the answer; zero where it was not told.
-      last_event: The id of the last event that the caller has of this stream, or empty.
-      headers: The headers as they came.
+      prompt_tokens: Tokens of the prompt; zero where not stated.
+      max_tokens: The maximum number of tokens of the answer; zero where not stated.
+      last_event: The id of the last event of this stream that the caller received, or empty.
+      headers: The headers as received.
     """
 
     method: str
@@ -26,7 +26,7 @@
     deadline: float | None
     key: str
     prompt_tokens: int
-    most_tokens: int
+    max_tokens: int
     last_event: str
     headers: httputil.HTTPHeaders
 
@@ -38,15 +38,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ReplyHead:
-    """How an endpoint's answer begins.
+    """The head of an endpoint's answer.
 
     Attributes:
-      not_executed: The endpoint says that it did not begin.
-      signed: It bears the endpoint's signature.
-      request_id: Which request it says that it answers, or empty.
-      instance: The endpoint that says it is there, where another was expected; else empty.
-      encoded: Its body was changed by something on the way.
-      headers: What is passed on to the caller.
+      not_executed: The endpoint states that it did not begin to execute the request.
+      signed: Whether it carries an endpoint's signature.
+      request_id: The id of the request that it states to answer, or empty.
+      instance: The endpoint that answered in place of the expected one, or empty.
+      encoded: Whether it has a Content-Encoding, a sign that its body was changed in transit.
+      headers: The headers that are passed to the caller.
     """
 
     status: int
@@ -60,5 +60,5 @@
 
     @property
     def success(self) -> bool:
-        """Whether the endpoint answered with what was asked for."""
+        """Whether the status is a success (2xx)."""
         return 200 <= self.status < 300
--- a/wasabidrum/core/requests_in_progress.py
+++ b/wasabidrum/core/requests_in_progress.py
@@ -6,7 +6,7 @@
 
 
 class RequestsInProgress:
-    """The requests that a daemon has begun and not ended."""
+    """The number of requests that a daemon has started and not finished."""
 
     __slots__ = ("_count", "_idle")
 
@@ -17,12 +17,12 @@
 
     @property
     def count(self) -> int:
-        """How many requests are in progress."""
+        """The number of requests in progress."""
         return self._count
 
     @contextlib.contextmanager
     def one(self) -> collections.abc.Iterator[None]:
-        """Counts one request while its block runs."""
+        """Counts one request for the duration of a with block."""
         self._count += 1
         self._idle.clear()
         try:
@@ -33,7 +33,7 @@
                 self._idle.set()
 
     async def wait_until_idle(self, seconds: float) -> bool:
-        """Waits for all to end; returns whether they did in time."""
+        """Waits until no request is in progress; returns whether that was within the time."""
         try:
             await asyncio.wait_for(self._idle.wait(), seconds)
         except TimeoutError:
--- a/wasabidrum/core/route.py
+++ b/wasabidrum/core/route.py
@@ -1,4 +1,4 @@
-"""A route: which callers' requests it takes, where they go, and what may be done with them."""
+"""Routes: which requests they match, to which services they go, and how they may be retried."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a request."""
+    """Whether requests may be repeated: SAFE always, UNSAFE never, STREAM where resumable."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -14,7 +14,7 @@
 
 
 class RouteTarget(msgspec.Struct, frozen=True):
-    """A service that a route sends to, and its part of the requests."""
+    """A service that a route sends requests to, and its weight among the targets."""
 
     service: str
     weight: float
@@ -24,16 +24,16 @@
     """One route of the configuration in force.
 
     Attributes:
-      prefix: Begins and ends with a slash; the longest that begins a path wins.
-      timeout: The longest that a caller is kept waiting, in seconds.
-      target_latency: Within this many seconds an answer, or its first event, is on time.
-      priority: Lower is more urgent.
-      max_attempts: The most endpoints that one request may be run by.
+      prefix: Begins and ends with a slash; the longest prefix of the path wins.
+      timeout: The maximum time that a caller waits, in seconds.
+      target_latency: The seconds within which an answer, or its first event, is on time.
+      priority: A lower value is more urgent.
+      max_attempts: The maximum number of endpoints that one request is sent to.
       public: Whether callers need no key.
-      resumable: Whether a stream may go on at another endpoint after its last event.
-      largest_gap: The longest pause between events for which a stream is on time, in seconds.
-      patience: The seconds without an event after which callers leave a stream, before its first
-        event too; infinite where they only wait for the deadline.
+      resumable: Whether another endpoint may continue a stream after its last event.
+      largest_gap: The longest pause between events, in seconds, with which a stream is on time.
+      patience: The seconds without an event after which callers leave a stream, also before its
+        first event; infinite where only the deadline limits their wait.
     """
 
     name: str
--- a/wasabidrum/core/status.py
+++ b/wasabidrum/core/status.py
@@ -1,4 +1,4 @@
-"""What a daemon says of itself, to peers and to operators."""
+"""The status that a daemon reports to its peers and to operators."""
 
 import msgspec
 
@@ -8,36 +8,35 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """A daemon's own account of itself. It travels on answers and on peer streams.
+    """A daemon's report of its own state, sent with answers and on peer streams.
 
     Attributes:
       name: The slot that the daemon fills.
-      incarnation: Made anew at each start; a later start sorts higher.
-      sequence: Grows with each status of one incarnation, so that a late one is known.
+      incarnation: Identifies one run of the daemon; a later run sorts higher.
+      sequence: Increases with each status of one incarnation, so that stale ones are recognised.
       revision: The configuration revision in force here.
-      config_digest: The digest of that revision's value.
+      config_digest: The digest of the value of that revision.
       model: The model of the endpoint, or empty.
       wanted_version: The version that the configuration in force here wants, or empty.
       version: The version that the endpoint answers with, or empty.
       fetching: The version being fetched, or empty.
-      chunks_held: How many chunks of the version being fetched are at hand.
-      leaving: Whether the daemon takes no new work.
+      chunks_held: How many chunks of the version being fetched are present.
+      leaving: Whether the daemon accepts no new requests.
       load: The endpoint's load as this daemon sees it.
-      uptime: Seconds since this incarnation started, by its own clock, which goes on counting
-        while the instance is suspended.
+      uptime: Seconds since this incarnation started, time spent suspended included.
       suspects: Requests that were in progress when the endpoint died, each as its
         fingerprint, a slash and the number of the death; see decisions/poison.py.
       failed_version: The version that the endpoint could not load, or empty.
       refused_revision: The highest invalid revision known above the one in force, or zero.
-      refused_reason: Every fault of that revision.
-      alarm: What is wrong with the revisions themselves, such as one with two contents.
-      reads_service: Whether the daemon reads the platform's service for its data centre.
-      staged: The version that the endpoint holds completely and has not switched to.
-      switching: Whether the endpoint switches versions now, or is about to.
-      proven: The version that is known to have come into force on some endpoint and stayed.
-      stopped: The version whose rollout stopped itself, or empty.
+      refused_reason: All faults of that revision.
+      alarm: An inconsistency among the revisions, such as one revision with two contents.
+      reads_service: Whether the daemon reads the platform's service on behalf of its data centre.
+      staged: The version that the endpoint holds completely but has not switched to.
+      switching: Whether the endpoint is switching versions, or is about to.
+      proven: The version that is known to have run on some endpoint for its soak time.
+      stopped: The version whose rollout was stopped automatically, or empty.
       wanted_seconds: For how long the wanted version has been known here, as of this status.
-      placing_limits: Until when an entry places requests on weights that were replaced.
+      placing_limits: Until when an entry places requests on replaced versions.
     """
 
     name: str
--- a/wasabidrum/core/store_change.py
+++ b/wasabidrum/core/store_change.py
@@ -1,13 +1,13 @@
-"""What was read from the platform's store."""
+"""Items and changes read from the platform's store."""
 
 import msgspec
 
 
 class StoreChange(msgspec.Struct, frozen=True):
-    """An item as it is since a revision.
+    """An item, or its removal, and the revision of that change.
 
     Attributes:
-      value: None where the item is gone.
+      value: The content, or None where the item was removed.
     """
 
     key: str
@@ -16,7 +16,7 @@
 
 
 class StoreReading(msgspec.Struct, frozen=True):
-    """Items or changes, and the revision from which to watch on."""
+    """Items or changes, and the revision after which to continue with a watch."""
 
     changes: tuple[StoreChange, ...]
     revision: int
--- a/wasabidrum/core/waiting.py
+++ b/wasabidrum/core/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for a limited time without losing a cancellation."""
+"""A wait with a timeout that does not lose a cancellation."""
 
 import asyncio
 import collections.abc
@@ -8,16 +8,17 @@
 
 
 async def wait_for(awaitable: collections.abc.Awaitable[Result], seconds: float) -> Result:
-    """Returns what an awaitable gives within some seconds, as asyncio.wait_for does.
+    """Returns the result of an awaitable within some seconds, as asyncio.wait_for does.
 
-    Before Python 3.12 asyncio.wait_for drops a cancellation that comes in the turn of the event
-    loop in which the awaitable ends: its caller goes on as if nobody had cancelled it, and nobody
-    does so again. Turns are long in a busy process. A request whose caller has left was then sent
-    to an endpoint, and held a place there until its first event.
+    Before Python 3.12 asyncio.wait_for drops a cancellation that arrives in the same iteration of
+    the event loop in which the awaitable completes. The caller then continues as if it had not been
+    cancelled, and it is not cancelled again. Iterations are long in a busy process. The effect was
+    that a request whose caller had left was sent to an endpoint, and held a slot there until its
+    first event.
 
     Raises:
-      TimeoutError: It gave nothing in that time.
-      asyncio.CancelledError: The task was cancelled, whatever the awaitable has given.
+      TimeoutError: The awaitable did not complete in that time.
+      asyncio.CancelledError: The task was cancelled, even if the awaitable has completed.
     """
     try:
         return await asyncio.wait_for(awaitable, seconds)
--- a/wasabidrum/core/waiting_test.py
+++ b/wasabidrum/core/waiting_test.py
@@ -1,4 +1,4 @@
-"""Tests of waiting with a limit."""
+"""Tests of waiting with a timeout."""
 
 import asyncio
 import unittest
@@ -7,18 +7,19 @@
 
 
 class WaitForTest(unittest.IsolatedAsyncioTestCase):
-    """Cancellations that come as the wait ends."""
+    """Cancellations in the iteration of the event loop in which the wait ends."""
 
-    async def test_a_cancellation_counts_in_the_turn_in_which_the_wait_ends_well(self) -> None:
-        """A task waits for an answer, and is cancelled as the answer comes. Were the
-        cancellation dropped, it would go on for a caller that has left."""
+    async def test_a_cancellation_is_kept_as_the_awaitable_returns(self) -> None:
+        """A task is cancelled in the iteration in which the answer that it waits for arrives. If
+        the cancellation were dropped, it would continue for a caller that has left."""
         await self._cancel_as_it_ends(lambda future: future.set_result("answer"))
 
-    async def test_a_cancellation_counts_in_the_turn_in_which_the_wait_fails(self) -> None:
-        """The same where the wait fails: the task would try again elsewhere, for nobody."""
+    async def test_a_cancellation_is_kept_as_the_awaitable_raises(self) -> None:
+        """The same where the awaitable fails: the task would retry at another endpoint for a caller
+        that has left."""
         await self._cancel_as_it_ends(lambda future: future.set_exception(OSError()))
 
-    async def test_without_one_the_result_the_failure_and_the_limit_pass(self) -> None:
+    async def test_without_a_cancellation_result_error_and_timeout_are_passed_on(self) -> None:
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         loop.call_soon(future.set_result, "answer")
--- a/wasabidrum/platform/__init__.py
+++ b/wasabidrum/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: the configuration service, the instance list, and weights."""
+"""Clients of the platform: its configuration, store, instance list, engines and weights."""
--- a/wasabidrum/platform/blob_source.py
+++ b/wasabidrum/platform/blob_source.py
@@ -1,16 +1,16 @@
-"""The seam to the weight store and to the origin, which differ only in their limits."""
+"""Interface to the weight store and the origin, which differ only in their rate limits."""
 
 import typing
 
 
 class BlobSource(typing.Protocol):
-    """Gives content by its digest, at a limited rate."""
+    """Serves content by its digest, at a limited rate."""
 
     async def fetch(self, digest: str) -> bytes:
-        """Returns the bytes that a digest names; the caller verifies them.
+        """Returns the content with a digest; the caller verifies it.
 
         Raises:
-          CodedError: With code "source_busy" and a retry_after where the source limits
-            its rate, "source_missing" where it has no such content, "source_unreachable"
-            otherwise.
+          CodedError: With code "source_busy" and a retry_after where the source refuses
+            because of its rate limit, "source_missing" where it has no such content,
+            "source_unreachable" otherwise.
         """
--- a/wasabidrum/platform/boot_settings.py
+++ b/wasabidrum/platform/boot_settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform places, in the platform's own format."""
+"""Reads the settings file that the platform provides at boot, in the platform's format."""
 
 import os
 import pathlib
@@ -11,7 +11,7 @@
 
 
 class WireBounds(msgspec.Struct, frozen=True):
-    """The bounds as the platform writes them; names end in their unit."""
+    """The bounds as the platform writes them; most names end in their unit."""
 
     configApplyMs: float = 2000.0  # noqa: N815
     revokeMs: float = 5000.0  # noqa: N815
@@ -25,20 +25,20 @@
 
 
 class WireLimits(msgspec.Struct, frozen=True):
-    """What the instance gives this process."""
+    """The resources that this process may use on its instance."""
 
     memoryMb: float = 300.0  # noqa: N815
     linkMbps: float = 1000.0  # noqa: N815
 
 
 class WireProvider(msgspec.Struct, frozen=True):
-    """The platform's store."""
+    """Where the platform's store listens."""
 
     address: str
 
 
 class WireSettings(msgspec.Struct, frozen=True):
-    """The file; keys that are not listed here are ignored."""
+    """The settings file; keys that are not listed here are ignored."""
 
     nodeName: str  # noqa: N815
     machineClass: str  # noqa: N815
@@ -58,10 +58,10 @@
 
 
 def read_deployment() -> Deployment:
-    """Reads the file that the environment names.
+    """Reads the file that the environment variable WASABIDRUM_CONFIG names.
 
     Raises:
-      CodedError: There is no such file, or it cannot be understood.
+      CodedError: There is no such file, or it is invalid.
     """
     path = os.environ.get(names.SETTINGS_VARIABLE, "")
     try:
@@ -72,10 +72,10 @@
 
 
 def decode_deployment(content: bytes) -> Deployment:
-    """Decodes the file.
+    """Decodes the settings file.
 
     Raises:
-      CodedError: It cannot be understood.
+      CodedError: It is invalid.
     """
     try:
         wire = msgspec.json.decode(content, type=WireSettings)
@@ -85,10 +85,10 @@
 
 
 def to_deployment(wire: WireSettings) -> Deployment:
-    """Returns the settings in the project's own types.
+    """Converts the settings to the types of the config package.
 
     Raises:
-      ValueError: An address is not one.
+      ValueError: An address is invalid.
     """
     listen = {name: parse_address(text) for name, text in wire.listen.items()}
     bounds = wire.bounds
@@ -125,10 +125,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Returns host and port.
+    """Parses an address of the form HOST:PORT.
 
     Raises:
-      ValueError: It is not written HOST:PORT.
+      ValueError: It has another form.
     """
     host, _, port = text.rpartition(":")
     if not host:
--- a/wasabidrum/platform/boot_settings_test.py
+++ b/wasabidrum/platform/boot_settings_test.py
@@ -1,4 +1,4 @@
-"""The settings file in the platform's format."""
+"""Tests of decoding the platform's settings file."""
 
 import json
 import os
@@ -29,9 +29,9 @@
 
 
 class BootSettingsTest(unittest.TestCase):
-    """Decoding, with what is unknown passed over."""
+    """Known keys are decoded; unknown keys are ignored."""
 
-    def test_an_entry_finds_its_addresses_and_bounds_in_seconds(self) -> None:
+    def test_an_entry_has_its_addresses_and_bounds_in_seconds(self) -> None:
         deployment = decode_deployment(json.dumps(ENTRY).encode())
         self.assertEqual(deployment.role, "entry")
         self.assertEqual(deployment.callers, Address("10.1.0.40", 8005))
@@ -40,19 +40,19 @@
         self.assertEqual(deployment.bounds.version, 9.7)
         self.assertEqual(deployment.first_port, 7700)
 
-    def test_a_sidecar_finds_its_endpoint(self) -> None:
+    def test_a_sidecar_has_its_endpoint(self) -> None:
         side = ENTRY | {"serves": ["side"], "listen": {}, "app": "10.1.0.41:8001", "service": "s"}
         deployment = decode_deployment(json.dumps(side).encode())
         self.assertEqual(deployment.role, "sidecar")
         self.assertEqual(deployment.endpoint, Address("10.1.0.41", 8001))
         self.assertEqual(deployment.service, "s")
 
-    def test_a_file_that_makes_no_sense_is_told_and_not_guessed(self) -> None:
+    def test_an_invalid_file_raises_an_error(self) -> None:
         for content in (b"", b"{}", json.dumps(ENTRY | {"seeds": ["nowhere"]}).encode()):
             with self.assertRaises(CodedError):
                 decode_deployment(content)
 
-    def test_the_file_is_the_one_that_the_environment_names(self) -> None:
+    def test_the_environment_variable_names_the_file(self) -> None:
         with tempfile.NamedTemporaryFile() as file:
             file.write(json.dumps(ENTRY).encode())
             file.flush()
--- a/wasabidrum/platform/configuration_service.py
+++ b/wasabidrum/platform/configuration_service.py
@@ -1,4 +1,4 @@
-"""The seam to the configuration service, which can only be read and watched."""
+"""Interface to the configuration service, which can only be read and watched."""
 
 import typing
 
@@ -6,10 +6,11 @@
 
 
 class ConfigurationService(typing.Protocol):
-    """Reads the published fleet configuration. Each call counts against a shared limit."""
+    """Reads the published fleet configuration. Each call counts against a rate limit that
+    all callers share."""
 
     async def read(self) -> ConfigValue:
-        """Returns the value that the service has now, which may be stale.
+        """Returns the service's current value, which may be stale.
 
         Raises:
           CodedError: The service could not be read.
@@ -19,8 +20,8 @@
         """Waits for a revision other than the one given.
 
         Returns:
-          The value, or None where nothing changed within the wait. A service that was
-          restored from an old copy may return a lower revision.
+          The value, or None where nothing changed within the wait. A service restored from an
+          old backup may return a lower revision.
 
         Raises:
           CodedError: The service could not be read.
--- a/wasabidrum/platform/engine_client.py
+++ b/wasabidrum/platform/engine_client.py
@@ -1,4 +1,4 @@
-"""The model engine beside a sidecar: its report, its staging area, and orders to it."""
+"""HTTP client of the model engine beside a sidecar: its report, staging area and orders."""
 
 import msgspec
 from tornado import httpclient
@@ -9,18 +9,19 @@
 from ..core.outcome import Outcome
 from ..wire import http_client
 from . import names
-from .published_records import holds_all
+from .published_records import holds_all_layers
 from .wire_records import WireHeldModel, WireLayers
 
-# An engine on the same instance answers in a millisecond, or is down.
-ANSWER_SECONDS = 1.0
-# Loaded after what is running, without taking anything new meanwhile.
+# An engine on the same instance answers within a millisecond unless it is down.
+REQUEST_TIMEOUT_SECONDS = 1.0
+# The strategy by which the engine first finishes its running requests, accepting no new ones, and
+# then loads.
 AFTER_RUNNING = "wait"
 ACCEPTED = (200, 202)
 
 
 class WireReport(msgspec.Struct, frozen=True):
-    """The engine's report; sequence counts the orders that it has accepted."""
+    """The report of an engine; sequence counts the orders that it has accepted."""
 
     models: tuple[WireHeldModel, ...] = ()
     layers: tuple[WireLayers, ...] | WireLayers | None = None
@@ -33,18 +34,18 @@
 
 
 class WireStaged(msgspec.Struct, frozen=True):
-    """What lies in the staging area; held lists numbers of pieces."""
+    """The content of the staging area; held lists the numbers of the pieces there."""
 
     held: tuple[int, ...] = ()
 
 
 def pieces_of_layer(layer: int, layers: int, pieces: int) -> range:
-    """Returns the numbers of the pieces that hold a layer."""
+    """Returns the numbers of the pieces that contain some part of a layer."""
     return range(layer * pieces // layers, -(-(layer + 1) * pieces // layers))
 
 
 class EngineClient:
-    """Speaks to one engine. Every method may raise CodedError where it does not answer."""
+    """Client of one engine. Every method raises CodedError where the engine does not answer."""
 
     __slots__ = ("_client", "_url")
 
@@ -53,10 +54,10 @@
         self._url = f"http://{address}"
 
     async def report(self, layers: int) -> EngineReport:
-        """Returns the engine's account of itself.
+        """Returns the engine's report of its own state.
 
         Args:
-          layers: How many layers its model has.
+          layers: The number of layers of its model.
         """
         body = await self._get(names.REPORT_PATH)
         try:
@@ -64,7 +65,7 @@
         except msgspec.MsgspecError as error:
             raise CodedError("engine_unreadable", str(error), 502) from error
         held = wire.models[0] if wire.models else None
-        whole = held is not None and holds_all(wire.layers, held.version, layers)
+        whole = held is not None and holds_all_layers(wire.layers, held.version, layers)
         return EngineReport(
             model=held.name if held else "",
             weights=held.version if whole else 0,
@@ -85,25 +86,28 @@
             raise CodedError("engine_unreadable", str(error), 502) from error
 
     async def read_piece(self, model: str, number: int) -> bytes | None:
-        """Returns a piece as it lies in the staging area, or None."""
+        """Returns a piece from the staging area, or None where the engine does not give it."""
         path = f"{names.STAGE_GET_PATH}{model}?num={number}"
         response = await self._fetch(path)
         return response.body if response.code == 200 else None
 
     async def put_piece(self, model: str, number: int, content: bytes) -> None:
-        """Puts a piece into the staging area, over what lies there."""
+        """Writes a piece to the staging area, replacing any previous content."""
         path = f"{names.STAGE_PUT_PATH}{model}?num={number}"
         response = await self._fetch(path, method="PUT", body=content)
         if response.code not in (200, 201, 202, 204):
-            raise CodedError("stage_refused", f"status {response.code}", 502, Outcome.FAILED)
+            raise CodedError(
+                "stage_refused", f"the engine answered status {response.code}", 502, Outcome.FAILED
+            )
 
     async def start(
         self, model: str, version: int, fence: int, layers: range | None = None
     ) -> bool:
-        """Orders the engine to load what is staged; returns whether it will, or has.
+        """Orders the engine to load the staged version; returns whether it will load it, or has.
 
         Args:
-          layers: Which layers, without a gap; all where not given.
+          fence: The fencing token of the order.
+          layers: A contiguous range of layers to load; all layers where None.
         """
         order = {
             "operation": "start",
@@ -115,7 +119,7 @@
         if layers is not None:
             order |= {"from": layers.start, "to": layers.stop}
         response = await http_client.post_json(
-            self._client, self._url + names.ORDER_PATH, order, ANSWER_SECONDS
+            self._client, self._url + names.ORDER_PATH, order, REQUEST_TIMEOUT_SECONDS
         )
         return response.code in ACCEPTED
 
@@ -129,7 +133,7 @@
         self, path: str, method: str = "GET", body: bytes | None = None
     ) -> httpclient.HTTPResponse:
         request = httpclient.HTTPRequest(
-            self._url + path, method=method, body=body, request_timeout=ANSWER_SECONDS
+            self._url + path, method=method, body=body, request_timeout=REQUEST_TIMEOUT_SECONDS
         )
         return await http_client.fetch(self._client, request, "engine")
 
--- a/wasabidrum/platform/heads.py
+++ b/wasabidrum/platform/heads.py
@@ -1,4 +1,4 @@
-"""Reads and writes the heads of requests and answers, in the platform's names."""
+"""Reads and writes the headers of requests and answers as the platform's protocol defines them."""
 
 from tornado import httputil
 
@@ -6,7 +6,7 @@
 from ..core.request_head import ReplyHead, RequestHead
 from . import names
 
-# Headers that concern one connection only, and those that this system writes itself.
+# Headers that apply to one connection only (hop-by-hop) or that frame the body on it.
 CONNECTION_HEADERS = frozenset(
     (
         "connection",
@@ -20,7 +20,9 @@
         "expect",
     )
 )
-OWN_HEADERS = frozenset(
+# Headers that are not copied from the caller. write_forwarded sets them where they apply, except
+# Authorization: it holds the caller's key, which endpoints must not see.
+NOT_COPIED_HEADERS = frozenset(
     name.lower()
     for name in (
         names.AUTHORIZATION,
@@ -36,7 +38,7 @@
 
 def read_request(start: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> RequestHead:
     """Reads the head of a caller's request."""
-    prompt, most = read_usage(headers.get(names.TOKEN_USAGE, ""))
+    prompt, maximum = read_usage(headers.get(names.TOKEN_USAGE, ""))
     kind, _, key = headers.get(names.AUTHORIZATION, "").partition(" ")
     return RequestHead(
         method=start.method,
@@ -46,23 +48,23 @@
         deadline=read_milliseconds(headers.get(names.DEADLINE, "")),
         key=key.strip() if kind.lower() == "bearer" else "",
         prompt_tokens=prompt,
-        most_tokens=most,
+        max_tokens=maximum,
         last_event=headers.get(names.LAST_EVENT_ID, ""),
         headers=headers,
     )
 
 
 def read_milliseconds(text: str) -> float | None:
-    """Returns seconds, or None where the text is no number of milliseconds."""
+    """Converts milliseconds to seconds; returns None where the text is not a number."""
     return int(text) / 1000.0 if text.isascii() and text.isdecimal() else None
 
 
 def read_usage(text: str) -> tuple[int, int]:
-    """Returns tokens of the prompt and the most of the answer; zeros where not told."""
-    prompt, _, most = text.partition(",")
-    if not (prompt.isascii() and prompt.isdecimal() and most.isascii() and most.isdecimal()):
+    """Returns the prompt's tokens and the maximum of the answer's; zeros where not stated."""
+    prompt, _, maximum = text.partition(",")
+    if not (prompt.isascii() and prompt.isdecimal() and maximum.isascii() and maximum.isdecimal()):
         return 0, 0
-    return int(prompt), int(most)
+    return int(prompt), int(maximum)
 
 
 def write_forwarded(
@@ -75,14 +77,14 @@
     weights: int,
     priority: int | None,
 ) -> httputil.HTTPHeaders:
-    """Returns the headers of a request as an endpoint gets it.
+    """Returns the headers of a request to forward to an endpoint.
 
     Args:
-      workspace: Whose key the caller showed; empty where the route needs none.
+      workspace: The workspace of the caller's key; empty where the route needs no key.
       weights: The version that must answer; zero where any may.
-      priority: The engine's own order, lower first; None for the usual one.
+      priority: The priority for the engine's queue, lower first; None for the default.
     """
-    dropped = CONNECTION_HEADERS | OWN_HEADERS | named_by_connection(head.headers)
+    dropped = CONNECTION_HEADERS | NOT_COPIED_HEADERS | hop_by_hop_names(head.headers)
     forwarded = httputil.HTTPHeaders()
     for name, value in head.headers.get_all():
         if name.lower() not in dropped:
@@ -103,15 +105,15 @@
     return forwarded
 
 
-def named_by_connection(headers: httputil.HTTPHeaders) -> frozenset[str]:
-    """Returns the headers that a Connection header says concern this connection only."""
+def hop_by_hop_names(headers: httputil.HTTPHeaders) -> frozenset[str]:
+    """Returns the lower-case names that a Connection header lists as hop-by-hop."""
     named = headers.get("Connection", "").lower()
     return frozenset(name.strip() for name in named.split(",") if name.strip())
 
 
 def read_reply(start: httputil.ResponseStartLine, headers: httputil.HTTPHeaders) -> ReplyHead:
     """Reads the head of an endpoint's answer."""
-    dropped = CONNECTION_HEADERS | named_by_connection(headers)
+    dropped = CONNECTION_HEADERS | hop_by_hop_names(headers)
     passed = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
@@ -129,7 +131,7 @@
 
 
 def write_refusal(request_id: str, retry_after: float | None) -> httputil.HTTPHeaders:
-    """Returns the headers of an answer of this system's own."""
+    """Returns the headers of an error that this system answers itself."""
     headers = httputil.HTTPHeaders({"Content-Type": "application/json"})
     if request_id:
         headers[names.REQUEST_ID] = request_id
--- a/wasabidrum/platform/heads_test.py
+++ b/wasabidrum/platform/heads_test.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers."""
+"""Tests of the headers of requests and answers."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def make_head(**more: str):
-    """Returns a caller's head with some headers more."""
+    """Returns the head of a caller's request with additional headers."""
     headers = httputil.HTTPHeaders({"Host": "A.example:8080", names.REQUEST_ID: "r1"})
     for name, value in more.items():
         headers.add(name.replace("_", "-"), value)
@@ -21,31 +21,31 @@
 
 
 def forward(head, **more: object) -> httputil.HTTPHeaders:
-    """Returns what an endpoint gets."""
+    """Returns the headers that the endpoint receives."""
     given = {"workspace": "", "seconds_left": 1.5, "body_bytes": 3, "last_event": ""}
     given |= {"weights": 0, "priority": None} | more
     return write_forwarded(head, ENDPOINT, **given)
 
 
 class RequestTest(unittest.TestCase):
-    """From a caller to an endpoint."""
+    """Requests from a caller to an endpoint."""
 
-    def test_host_and_path_are_what_routes_are_found_by(self) -> None:
+    def test_host_is_lower_case_without_port_and_path_without_query(self) -> None:
         head = make_head()
         self.assertEqual((head.host, head.path), ("a.example", "/p/x"))
 
-    def test_a_key_is_read_and_never_passed_on(self) -> None:
+    def test_a_key_is_read_and_not_forwarded(self) -> None:
         head = make_head(Authorization="Bearer k1")
         self.assertEqual(head.key, "k1")
         self.assertNotIn(names.AUTHORIZATION, forward(head, workspace="till"))
         self.assertEqual(forward(head, workspace="till")[names.TENANT], "till")
 
-    def test_another_scheme_is_no_key(self) -> None:
+    def test_an_authorization_other_than_bearer_is_no_key(self) -> None:
         self.assertEqual(make_head(Authorization="Basic k1").key, "")
 
-    def test_what_concerns_the_callers_connection_only_stays_here(self) -> None:
-        """A caller names a header in Connection. Passed on it would concern another connection
-        than the one that it was meant for."""
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
+        """A header that the caller lists in Connection applies to the caller's connection only.
+        Forwarded, it would apply to the connection to the endpoint."""
         head = make_head(
             Connection="X-Hop, close", X_Hop="1", X_End="2", Transfer_Encoding="chunked"
         )
@@ -55,13 +55,13 @@
         self.assertEqual(forwarded["X-End"], "2")
         self.assertEqual(forwarded["Content-Length"], "3")
 
-    def test_headers_that_come_twice_go_twice(self) -> None:
+    def test_repeated_headers_are_forwarded_as_often(self) -> None:
         head = make_head()
         head.headers.add("X-Two", "1")
         head.headers.add("X-Two", "2")
         self.assertEqual(forward(head).get_list("X-Two"), ["1", "2"])
 
-    def test_what_the_caller_says_of_our_own_headers_is_replaced(self) -> None:
+    def test_headers_set_by_this_system_replace_the_callers(self) -> None:
         head = make_head(**{names.EXPECT_INSTANCE: "i-9", names.EXPECT_VERSION: "1"})
         forwarded = forward(head, weights=4, last_event="7")
         self.assertEqual(forwarded[names.EXPECT_INSTANCE], "i-1")
@@ -69,30 +69,30 @@
         self.assertEqual(forwarded[names.LAST_EVENT_ID], "7")
         self.assertEqual(forwarded[names.DEADLINE], "1500")
 
-    def test_sizes_that_are_no_numbers_are_unknown(self) -> None:
+    def test_token_counts_that_are_not_numbers_are_zero(self) -> None:
         self.assertEqual(read_usage("1460,80"), (1460, 80))
         for text in ("", "1460", "a,b", "-1,2", "١,٢"):
             self.assertEqual(read_usage(text), (0, 0))
 
 
 class ReplyTest(unittest.TestCase):
-    """From an endpoint to a caller."""
+    """Answers from an endpoint to a caller."""
 
     def read(self, status: int, **more: str):
-        """Returns the head of an answer."""
+        """Reads the head of an answer with a status and headers."""
         headers = httputil.HTTPHeaders({name.replace("_", "-"): v for name, v in more.items()})
         return read_reply(httputil.ResponseStartLine("HTTP/1.1", status, "X"), headers)
 
-    def test_only_its_own_word_or_a_wrong_address_say_that_it_did_not_run(self) -> None:
+    def test_only_the_header_or_status_421_say_not_executed(self) -> None:
         self.assertTrue(self.read(503, **{names.NOT_EXECUTED: "1"}).not_executed)
         self.assertTrue(self.read(421).not_executed)
         self.assertFalse(self.read(503).not_executed)
         self.assertFalse(self.read(500).not_executed)
 
-    def test_the_frame_of_its_connection_is_not_the_callers(self) -> None:
+    def test_hop_by_hop_headers_are_not_passed_to_the_caller(self) -> None:
         head = self.read(200, Connection="close", Content_Length="3", X_Own="1")
         self.assertEqual(dict(head.headers.get_all()), {"X-Own": "1"})
 
-    def test_a_time_to_come_back_may_be_a_fraction(self) -> None:
+    def test_retry_after_has_fractions_of_a_second(self) -> None:
         self.assertEqual(write_refusal("r1", 0.25)[names.RETRY_AFTER], "0.250")
         self.assertNotIn(names.RETRY_AFTER, write_refusal("r1", None))
--- a/wasabidrum/platform/http_blob_source.py
+++ b/wasabidrum/platform/http_blob_source.py
@@ -1,4 +1,4 @@
-"""The weight store and the origin over HTTP: content by digest."""
+"""HTTP client of the weight store and the origin, which serve content by digest."""
 
 import asyncio
 
@@ -8,11 +8,12 @@
 from ..wire import http_client
 
 FETCH_TIMEOUT_SECONDS = 120.0
-# Many draws share the source's link and take turns, so that a healthy one may be silent for
-# some seconds; ten is past that, and short beside the minutes that a burst may take.
+# Many downloads share the source's link and take turns, so that a healthy one may receive nothing
+# for some seconds. Ten seconds exceed that, and are short beside the minutes that a burst of
+# downloads may take.
 STALL_SECONDS = 10.0
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-LONGEST_RETRY_AFTER_SECONDS = 60.0
+MAX_RETRY_AFTER_SECONDS = 60.0
 
 
 class HttpBlobSource:
@@ -35,17 +36,17 @@
         except CodedError as error:
             raise CodedError("source_unreachable", str(error), 503) from error
         except TimeoutError as error:
-            # A link that stalls without closing would hold this chunk, and all who wait for
-            # it here, until the whole request times out; an operator would see a rollout
-            # that stands at almost all of its chunks. Silence ends the draw instead.
-            silent = f"{self._url}: silent for {self._stall_seconds} s"
-            raise CodedError("source_unreachable", silent, 503) from error
+            # A link that stalls without closing would block this chunk, and everything that
+            # waits for it here, until the whole request times out: a rollout would stop with
+            # almost all of its chunks present. The stall timeout ends the download earlier.
+            message = f"{self._url}: received nothing for {self._stall_seconds} s"
+            raise CodedError("source_unreachable", message, 503) from error
         if status == 200:
             return content
         if status == 429:
             raise CodedError("source_busy", self._url, 503, retry_after=retry_after)
         if status == 404:
-            raise CodedError("source_missing", f"{self._url} lacks {digest}", 503)
+            raise CodedError("source_missing", f"{self._url} does not have {digest}", 503)
         raise CodedError("source_unreachable", f"{self._url}: status {status}", 503)
 
     async def _read(self, request: httpclient.HTTPRequest) -> tuple[int, float, bytes]:
@@ -62,17 +63,17 @@
 
 
 def read_retry_after(text: str | None) -> float:
-    """Returns the seconds that a Retry-After header asks for, within bounds.
+    """Returns the seconds that a Retry-After header asks for, up to the maximum.
 
-    A date in place of seconds, or nonsense, counts as no wish at all.
+    A date in place of seconds, or an invalid value, gives the default.
     """
     if text is None or not text.isascii() or not text.isdecimal():
         return DEFAULT_RETRY_AFTER_SECONDS
-    return min(float(text), LONGEST_RETRY_AFTER_SECONDS)
+    return min(float(text), MAX_RETRY_AFTER_SECONDS)
 
 
 def make_blob_source(
     client: httpclient.AsyncHTTPClient, url: str, stall_seconds: float = STALL_SECONDS
 ) -> HttpBlobSource:
-    """Returns the source behind a URL."""
+    """Returns a client of the source at a URL."""
     return HttpBlobSource(client, url, stall_seconds)
--- a/wasabidrum/platform/http_configuration_service.py
+++ b/wasabidrum/platform/http_configuration_service.py
@@ -1,4 +1,4 @@
-"""The configuration service over HTTP: a long poll with the revision in a header."""
+"""HTTP client of the configuration service: a long poll with the revision in a header."""
 
 from tornado import httpclient
 
@@ -25,13 +25,15 @@
         """See ConfigurationService."""
         value = await self._get(self._url, READ_TIMEOUT_SECONDS)
         if value is None:
-            raise CodedError("configuration_missing", "the service has no value yet", 503)
+            raise CodedError(
+                "configuration_missing", "the configuration service has no value yet", 503
+            )
         return value
 
     async def watch(self, after: int, wait_seconds: float) -> ConfigValue | None:
         """See ConfigurationService."""
-        # The extra time lets a healthy service answer "nothing new"; a watch that hangs
-        # without closing ends here instead of leaving this process deaf for ever.
+        # The extra time lets a healthy service answer 304 at the end of the wait. Without the
+        # timeout, a connection that hangs open would cut this process off from all changes.
         url = f"{self._url}?after={after}&wait={wait_seconds}"
         return await self._get(url, wait_seconds + READ_TIMEOUT_SECONDS)
 
@@ -41,17 +43,21 @@
         if response.code == 304:
             return None
         if response.code != 200:
-            raise CodedError("configuration_unreadable", f"status {response.code}", 503)
+            raise CodedError(
+                "configuration_unreadable",
+                f"the configuration service answered status {response.code}",
+                503,
+            )
         if len(response.body) > LARGEST_VALUE_BYTES:
             raise CodedError("configuration_too_large", f"{len(response.body)} bytes", 503)
         revision = response.headers.get(REVISION_HEADER, "")
         if not revision.isdecimal():
-            raise CodedError("configuration_unreadable", f"revision {revision!r}", 503)
+            raise CodedError("configuration_unreadable", f"invalid revision {revision!r}", 503)
         return ConfigValue(int(revision), digest_of(response.body), response.body)
 
 
 def make_configuration_service(
     client: httpclient.AsyncHTTPClient, url: str
 ) -> HttpConfigurationService:
-    """Returns the service behind a URL."""
+    """Returns a client of the configuration service at a URL."""
     return HttpConfigurationService(client, url)
--- a/wasabidrum/platform/http_instance_directory.py
+++ b/wasabidrum/platform/http_instance_directory.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances over HTTP."""
+"""HTTP client of the platform's list of instances."""
 
 import msgspec
 from tornado import httpclient
@@ -24,7 +24,9 @@
         request = httpclient.HTTPRequest(self._url, request_timeout=READ_TIMEOUT_SECONDS)
         response = await http_client.fetch(self._client, request, "instance list")
         if response.code != 200:
-            raise CodedError("instances_unreadable", f"status {response.code}", 503)
+            raise CodedError(
+                "instances_unreadable", f"the instance list answered status {response.code}", 503
+            )
         try:
             return msgspec.json.decode(response.body, type=InstanceList)
         except msgspec.MsgspecError as error:
@@ -32,5 +34,5 @@
 
 
 def make_instance_directory(client: httpclient.AsyncHTTPClient, url: str) -> HttpInstanceDirectory:
-    """Returns the list behind a URL."""
+    """Returns a client of the instance list at a URL."""
     return HttpInstanceDirectory(client, url)
--- a/wasabidrum/platform/names.py
+++ b/wasabidrum/platform/names.py
@@ -1,20 +1,20 @@
-"""Names on the platform's wire: headers, paths, keys of the store."""
+"""Names defined by the platform's protocol: headers, paths and store keys."""
 
 # Headers that callers, this system and endpoints exchange.
 REQUEST_ID = "Wasabidrum-Request-Id"
-# Milliseconds that are left, not a time of day.
+# The remaining time in milliseconds, not a time of day.
 DEADLINE = "Wasabidrum-Request-Deadline"
 SIGNATURE = "Wasabidrum-Response-Signature"
-# Says that the endpoint refused before it began.
+# Set where the endpoint refused a request before it began to execute it.
 NOT_EXECUTED = "Wasabidrum-Not-Executed"
 EXPECT_INSTANCE = "Wasabidrum-Expect-Instance"
 EXPECT_VERSION = "Wasabidrum-Expect-Version"
-# Which endpoint answers, where another than the expected one does.
+# The endpoint that answers, where it is not the expected one.
 INSTANCE = "Wasabidrum-Instance-Id"
 TENANT = "Wasabidrum-Tenant"
 PRIORITY = "Wasabidrum-Request-Priority"
 MODEL = "Wasabidrum-Model"
-# Prompt tokens, a comma, and the most tokens of the answer.
+# Prompt tokens, a comma, and the maximum number of tokens of the answer.
 TOKEN_USAGE = "Wasabidrum-Token-Usage"
 LAST_EVENT_ID = "Last-Event-Id"
 AUTHORIZATION = "Authorization"
--- a/wasabidrum/platform/published_records.py
+++ b/wasabidrum/platform/published_records.py
@@ -1,4 +1,4 @@
-"""Decodes what the platform's store holds into the project's types."""
+"""Decodes the values of the platform's store into the types of the core package."""
 
 import collections.abc
 import enum
@@ -28,18 +28,19 @@
     WireVersion,
 )
 
-KINDS = {"safe": RouteKind.SAFE, "unsafe": RouteKind.UNSAFE, "streaming": RouteKind.STREAM}
-# An endpoint's states as the store spells them; another word names no endpoint to use.
+ROUTE_KINDS = {"safe": RouteKind.SAFE, "unsafe": RouteKind.UNSAFE, "streaming": RouteKind.STREAM}
+# Whether an endpoint is leaving, by its state in the store; an endpoint in any other state is
+# invalid.
 LEAVING_BY_STATE = {"ready": False, "draining": True}
-WHOLE_WEIGHT = 1.0
-# When callers leave a stream that says nothing: the longest of these.
-LEAST_PATIENCE_MS = 2000.0
-PATIENCE_PER_TARGET = 4.0
-PATIENCE_PER_GAP = 8.0
+SINGLE_TARGET_WEIGHT = 1.0
+# Callers leave a stream that sends no event for the longest of these times.
+MIN_STREAM_IDLE_MS = 2000.0
+STREAM_IDLE_PER_TARGET_LATENCY = 4.0
+STREAM_IDLE_PER_GAP = 8.0
 
 
 class ItemKind(enum.Enum):
-    """What an item of the store is about."""
+    """What an item of the store describes."""
 
     CONFIGURATION = "configuration"
     VERSION = "version"
@@ -48,7 +49,7 @@
 
 
 def kind_of(key: str) -> ItemKind:
-    """Returns what the item with a key is about."""
+    """Returns what the item with a key describes."""
     if key.startswith(names.ENDPOINT_PREFIX):
         return ItemKind.ENDPOINT
     if key.startswith(names.VERSION_PREFIX):
@@ -57,7 +58,7 @@
 
 
 def endpoint_id_of(key: str) -> str:
-    """Returns the id of the endpoint that an item is about."""
+    """Returns the id of the endpoint that the item with a key describes."""
     return key.removeprefix(names.ENDPOINT_PREFIX)
 
 
@@ -65,7 +66,7 @@
     """Decodes the operator's configuration.
 
     Raises:
-      CodedError: It cannot be understood.
+      CodedError: It is invalid.
     """
     try:
         wire = msgspec.json.decode(content, type=WireConfiguration)
@@ -81,10 +82,13 @@
 
 
 def decode_version(content: bytes) -> tuple[str, int]:
-    """Returns a model and the version of its weights that is wanted.
+    """Decodes which version of its weights a model is to have.
+
+    Returns:
+      The name of the model, and the version.
 
     Raises:
-      CodedError: It cannot be understood.
+      CodedError: The value is invalid.
     """
     try:
         wire = msgspec.json.decode(content, type=WireVersion)
@@ -96,13 +100,13 @@
 def decode_endpoint(
     endpoint_id: str, content: bytes, layers_of: collections.abc.Callable[[str], int]
 ) -> ListedEndpoint:
-    """Decodes an endpoint's entry, which anyone may have written.
+    """Decodes an endpoint's entry, which is untrusted: anyone may have written it.
 
     Args:
-      layers_of: Returns how many layers the model of a service has.
+      layers_of: Returns the number of layers of the model that a service runs.
 
     Raises:
-      CodedError: A field is missing or has another type or an unknown word.
+      CodedError: A field is missing, has the wrong type or an unknown value.
     """
     try:
         wire = msgspec.json.decode(content, type=WireEndpoint)
@@ -122,12 +126,18 @@
         started_at=wire.born,
         model=held.name if held else "",
         weights=held.version if held else 0,
-        whole=held is not None and holds_all(wire.layers, held.version, layers_of(wire.service)),
+        whole=held is not None
+        and holds_all_layers(wire.layers, held.version, layers_of(wire.service)),
     )
 
 
-def holds_all(held: tuple[WireLayers, ...] | WireLayers | None, version: int, layers: int) -> bool:
-    """Returns whether an endpoint holds every layer of a version."""
+def holds_all_layers(
+    held: tuple[WireLayers, ...] | WireLayers | None, version: int, layers: int
+) -> bool:
+    """Returns whether an endpoint holds every layer of a version.
+
+    An endpoint that does not state its layers holds all of its version.
+    """
     if held is None:
         return version > 0
     ranges = (held,) if isinstance(held, WireLayers) else held
@@ -135,53 +145,55 @@
 
 
 def to_route(wire: WireRoute) -> Route:
-    """Returns a route in the project's types."""
+    """Converts a route."""
     targets = tuple(RouteTarget(split.service, split.weight) for split in wire.trafficSplit)
     return Route(
         name=wire.name,
         host=wire.host,
         prefix=wire.prefix,
-        kind=KINDS[wire.type],
+        kind=ROUTE_KINDS[wire.type],
         timeout=wire.timeoutMs / 1000.0,
         target_latency=wire.targetLatencyMs / 1000.0,
         priority=wire.priority,
-        targets=targets or (RouteTarget(wire.service, WHOLE_WEIGHT),),
+        targets=targets or (RouteTarget(wire.service, SINGLE_TARGET_WEIGHT),),
         max_attempts=wire.maxAttempts,
         public=wire.public,
         resumable=wire.resumable,
         largest_gap=wire.gapTargetMs / 1000.0,
-        patience=patience_of(wire),
+        patience=stream_idle_timeout(wire),
     )
 
 
-def patience_of(wire: WireRoute) -> float:
+def stream_idle_timeout(wire: WireRoute) -> float:
     """Returns the seconds without an event after which callers leave a stream.
 
+    Infinite for routes that are not streams.
+
     Source: the platform's protocol, "Requests".
     """
-    if KINDS[wire.type] is not RouteKind.STREAM:
+    if ROUTE_KINDS[wire.type] is not RouteKind.STREAM:
         return float("inf")
-    by_target = PATIENCE_PER_TARGET * wire.targetLatencyMs
-    by_gap = PATIENCE_PER_GAP * wire.gapTargetMs
-    return max(LEAST_PATIENCE_MS, by_target, by_gap) / 1000.0
+    by_target = STREAM_IDLE_PER_TARGET_LATENCY * wire.targetLatencyMs
+    by_gap = STREAM_IDLE_PER_GAP * wire.gapTargetMs
+    return max(MIN_STREAM_IDLE_MS, by_target, by_gap) / 1000.0
 
 
 def to_service(wire: WireService) -> PublishedService:
-    """Returns a service in the project's types."""
+    """Converts a service."""
     origin = parse_address(wire.origin) if wire.origin else None
     return PublishedService(
         name=wire.name,
         health_path=wire.healthPath,
         most_connections=wire.maxConnections,
-        engine=to_figures(wire.engine) if wire.engine else None,
+        engine=to_engine_figures(wire.engine) if wire.engine else None,
         models=tuple(model.name for model in wire.engine.models) if wire.engine else (),
         origin=(origin.host, origin.port) if origin else None,
         data_centre=wire.zone,
     )
 
 
-def to_figures(wire: WireEngine) -> EngineFigures:
-    """Returns an engine's figures in seconds and tokens."""
+def to_engine_figures(wire: WireEngine) -> EngineFigures:
+    """Converts the performance figures of an engine to seconds and tokens."""
     return EngineFigures(
         slots=wire.slots,
         step=wire.step_ms / 1000.0,
@@ -202,7 +214,7 @@
 
 
 def to_limits(wire: WireCallerLimits) -> CallerLimits:
-    """Returns the limits on callers in seconds and bytes."""
+    """Converts the limits on callers to seconds and bytes."""
     return CallerLimits(
         wire.maxHeaderBytes,
         wire.maxBodyBytes,
--- a/wasabidrum/platform/published_records_test.py
+++ b/wasabidrum/platform/published_records_test.py
@@ -1,4 +1,4 @@
-"""What the store holds, in the project's types."""
+"""Tests of decoding the values of the platform's store."""
 
 import json
 import unittest
@@ -38,14 +38,14 @@
 
 
 def endpoint_with(**facts: object):
-    """Returns an endpoint of a model with sixteen layers, some fields changed."""
+    """Returns an endpoint whose model has sixteen layers, with some fields changed."""
     return decode_endpoint("i", json.dumps(ENDPOINT | facts).encode(), lambda service: 16)
 
 
 class ConfigurationTest(unittest.TestCase):
     """Routes, services and workspaces."""
 
-    def test_times_are_seconds_and_the_type_says_what_may_be_repeated(self) -> None:
+    def test_times_become_seconds_and_a_resumable_stream_is_idempotent(self) -> None:
         content = json.dumps({"version": 7, "routes": [ROUTE]}).encode()
         route = decode_configuration(content).routes[0]
         self.assertEqual(
@@ -54,61 +54,62 @@
         self.assertEqual(route.kind, RouteKind.STREAM)
         self.assertTrue(route.idempotent)
 
-    def test_callers_leave_a_stream_after_the_longest_of_three_pauses(self) -> None:
-        def patience(**facts: object) -> float:
+    def test_stream_idle_timeout_is_the_longest_of_three(self) -> None:
+        def idle_timeout(**facts: object) -> float:
             content = json.dumps({"version": 7, "routes": [ROUTE | facts]}).encode()
             return decode_configuration(content).routes[0].patience
 
-        self.assertEqual(patience(), 3.2)
-        self.assertEqual(patience(targetLatencyMs=1000), 4.0)
-        self.assertEqual(patience(targetLatencyMs=100, gapTargetMs=0), 2.0)
-        self.assertEqual(patience(type="safe"), float("inf"))
+        self.assertEqual(idle_timeout(), 3.2)
+        self.assertEqual(idle_timeout(targetLatencyMs=1000), 4.0)
+        self.assertEqual(idle_timeout(targetLatencyMs=100, gapTargetMs=0), 2.0)
+        self.assertEqual(idle_timeout(type="safe"), float("inf"))
 
-    def test_a_stream_that_cannot_be_resumed_runs_once(self) -> None:
-        """A stream that nobody may go on with is no more to be repeated than a charge."""
+    def test_a_stream_that_cannot_be_resumed_is_not_idempotent(self) -> None:
+        """Repeating a stream that cannot be resumed would run its request twice, as repeating a
+        charge would."""
         content = json.dumps({"version": 7, "routes": [ROUTE | {"resumable": False}]}).encode()
         self.assertFalse(decode_configuration(content).routes[0].idempotent)
 
-    def test_a_route_that_is_split_names_all_its_services(self) -> None:
+    def test_a_split_route_has_all_its_services_as_targets(self) -> None:
         split = {k: v for k, v in ROUTE.items() if k != "service"}
         split["trafficSplit"] = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
         content = json.dumps({"version": 7, "routes": [split]}).encode()
         targets = decode_configuration(content).routes[0].targets
         self.assertEqual([(t.service, t.weight) for t in targets], [("a", 90.0), ("b", 10.0)])
 
-    def test_a_type_that_is_not_known_refuses_the_whole(self) -> None:
-        """A route whose type is new here could be taken for one that may be repeated."""
+    def test_an_unknown_route_type_makes_the_configuration_invalid(self) -> None:
+        """A route of an unknown type could otherwise be treated as idempotent."""
         content = json.dumps({"version": 7, "routes": [ROUTE | {"type": "keyed"}]}).encode()
         with self.assertRaises(CodedError):
             decode_configuration(content)
 
-    def test_versions_are_numbers_of_a_model(self) -> None:
+    def test_a_version_has_a_model_and_a_number(self) -> None:
         self.assertEqual(decode_version(b'{"model":"m","version":2}'), ("m", 2))
         with self.assertRaises(CodedError):
             decode_version(b'{"model":"m"}')
 
 
 class EndpointTest(unittest.TestCase):
-    """Entries that anyone may have written."""
+    """Endpoint entries, which are untrusted."""
 
-    def test_one_that_holds_every_layer_is_whole(self) -> None:
+    def test_an_endpoint_with_every_layer_is_whole(self) -> None:
         self.assertTrue(endpoint_with().whole)
         self.assertEqual(endpoint_with().weights, 3)
         self.assertEqual(endpoint_with().started_at, 1_700_000_000_000)
 
-    def test_one_that_lacks_a_layer_or_mixes_versions_is_not(self) -> None:
-        """An engine holds most of a version, or some layers of another. Taken for whole, it
-        would be sent requests that nobody may answer."""
+    def test_an_endpoint_with_missing_or_other_layers_is_not_whole(self) -> None:
+        """An engine holds part of a version, or layers of another one. Treated as whole, it would
+        be sent requests that it cannot answer with that version."""
         part = {"from": 0, "to": 15, "version": 3}
         other = {"from": 0, "to": 16, "version": 2}
         for layers in ([], [part], [other]):
             self.assertFalse(endpoint_with(layers=layers).whole)
         self.assertFalse(endpoint_with(models=[]).whole)
 
-    def test_its_software_version_is_not_taken_for_weights(self) -> None:
+    def test_the_software_version_is_not_the_weights_version(self) -> None:
         self.assertEqual(endpoint_with(version="v9").weights, 3)
 
-    def test_another_state_or_type_names_no_endpoint(self) -> None:
+    def test_an_unknown_state_or_wrong_type_raises_an_error(self) -> None:
         wrong = ({"state": "resting"}, {"slots": "16"}, {"address": "nowhere"}, {"zone": None})
         for facts in wrong:
             with self.assertRaises(CodedError):
@@ -116,7 +117,7 @@
 
     @SETTINGS
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_no_bytes_do_worse_than_an_error(self, content: bytes) -> None:
+    def test_arbitrary_bytes_raise_at_most_a_coded_error(self, content: bytes) -> None:
         try:
             decode_endpoint("i", content, lambda service: 16)
         except CodedError:
--- a/wasabidrum/platform/store_client.py
+++ b/wasabidrum/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store, which can only be read and watched."""
+"""HTTP client of the platform's key-value store, which can only be read and watched."""
 
 import base64
 import binascii
@@ -15,18 +15,18 @@
 from ..wire import http_client
 from . import names
 
-# A read takes some milliseconds, and hundreds where the store is slow. Where all instances start
-# together, a configuration of a thousand routes takes two seconds over the links that they share;
-# given up before that, reads would begin anew and none would ever end.
+# A read takes a few milliseconds, and hundreds where the store is slow. When all instances start at
+# once, a configuration of a thousand routes takes two seconds over the links that they share. A
+# shorter timeout would make every read start again, and none would ever complete.
 READ_TIMEOUT_SECONDS = 4.0
-# What a watch may take beyond the wait that it asks for.
+# How much longer a watch may take than the wait that it asks for.
 WATCH_EXTRA_SECONDS = 1.0
-# The store answers with fewer where the answer would be large; no range has more pages.
-MOST_PAGES = 100
+# The store splits a large answer into pages; no range has more pages than this.
+MAX_PAGES = 100
 
 
 class WireItem(msgspec.Struct, frozen=True):
-    """An item, or that it is gone. The field deleted is only there where it is."""
+    """An item, or its removal. The field deleted is present only in a removal."""
 
     key: str
     revision: int
@@ -35,7 +35,7 @@
 
 
 class WireRange(msgspec.Struct, frozen=True):
-    """A page. The field truncated says that another follows."""
+    """A page of a range. The field truncated says that another page follows."""
 
     items: tuple[WireItem, ...]
     asOf: int  # noqa: N815
@@ -43,14 +43,14 @@
 
 
 class WireEvents(msgspec.Struct, frozen=True):
-    """What a watch saw. The field asOf is where to go on, a revision and no time."""
+    """The changes that a watch returns. The next watch starts at asOf, a revision, not a time."""
 
     events: tuple[WireItem, ...]
     asOf: int  # noqa: N815
 
 
 class Watched(enum.StrEnum):
-    """What of the store may be read or watched by itself; keys begin so."""
+    """The key prefixes by which the store is read or watched."""
 
     ALL = ""
     CONFIGURATION = names.CONFIGURATION_KEY
@@ -59,7 +59,11 @@
 
 
 class StoreClient:
-    """Reads and watches items whose keys begin alike."""
+    """Reads and watches the items whose keys have a prefix.
+
+    Attributes:
+      calls: How many requests were sent to the store.
+    """
 
     __slots__ = ("_client", "_url", "calls")
 
@@ -72,18 +76,19 @@
         """Returns every item whose key begins with a prefix.
 
         Raises:
-          CodedError: The store did not answer, or refused: "store_refused" where it said that it
-            is not available, "store_throttled" where it had too many calls.
+          CodedError: The store did not answer, or it refused: with code "store_throttled" where
+            it received too many calls, "history_lost" where it no longer has the changes,
+            "store_refused" for any other status.
         """
         changes: list[StoreChange] = []
         first: int | None = None
         after = ""
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = {"prefix": prefix.value} | ({"after": after} if after else {})
             body = await self._get(names.STORE_RANGE_PATH, query, READ_TIMEOUT_SECONDS)
             page = decode(body, WireRange)
-            # Pages are no snapshot: a watch from the first page's revision sees again what
-            # changed while the others were read.
+            # The pages are not a snapshot. A watch from the first page's revision also returns
+            # the changes made while the other pages were read.
             first = page.asOf if first is None else first
             changes += [to_change(item) for item in page.items]
             if not page.truncated or not page.items:
@@ -92,10 +97,10 @@
         return StoreReading(tuple(changes), first or 0)
 
     async def watch(self, prefix: Watched, after: int, wait_seconds: float) -> StoreReading:
-        """Waits for changes after a revision; returns with none once the wait is over.
+        """Waits for changes after a revision; returns none if the wait ends without any.
 
         Raises:
-          CodedError: With code "history_lost" where a new read is needed, otherwise as above.
+          CodedError: With code "history_lost" where a new read is needed, otherwise as in read.
         """
         query = {
             "prefix": prefix.value,
@@ -115,19 +120,21 @@
         )
         response = await http_client.fetch(self._client, request, "store")
         if response.code == 410:
-            raise CodedError("history_lost", "the store dropped its history", 503)
+            raise CodedError(
+                "history_lost", "the store has dropped the changes after this revision", 503
+            )
         if response.code == 429:
-            raise CodedError("store_throttled", "more calls than the store allows", 503)
+            raise CodedError("store_throttled", "the store received more calls than it allows", 503)
         if response.code != 200:
-            raise CodedError("store_refused", f"status {response.code}", 503)
+            raise CodedError("store_refused", f"the store answered status {response.code}", 503)
         return response.body
 
 
 def decode(body: bytes, kind: type) -> typing.Any:
-    """Returns a decoded answer.
+    """Decodes an answer of the store.
 
     Raises:
-      CodedError: It is no answer of the store.
+      CodedError: It is invalid.
     """
     try:
         return msgspec.json.decode(body, type=kind)
@@ -136,9 +143,9 @@
 
 
 def to_change(item: WireItem) -> StoreChange:
-    """Returns an item, or its removal, in the project's types.
+    """Converts an item, or its removal.
 
-    A value that cannot be decoded becomes an empty one, which names nothing.
+    A value that is not base64 becomes empty, which later decoding rejects.
     """
     try:
         value = base64.b64decode(item.value, validate=True)
--- a/wasabidrum/platform/store_client_test.py
+++ b/wasabidrum/platform/store_client_test.py
@@ -1,4 +1,4 @@
-"""The store's client, over real sockets."""
+"""Tests of the store's client over real sockets."""
 
 import time
 import unittest
@@ -12,7 +12,7 @@
 
 
 class StoreClientTest(unittest.IsolatedAsyncioTestCase):
-    """A store that answers in small pages."""
+    """A client of a store that answers in small pages."""
 
     async def asyncSetUp(self) -> None:
         self.store = ListedStore(page_size=3)
@@ -31,33 +31,33 @@
         self.assertEqual([c.key for c in reading.changes], [f"servers/{n}" for n in range(8)])
         self.assertEqual(reading.revision, self.store.revision)
 
-    async def test_a_watch_tells_of_writes_and_removals_in_order(self) -> None:
+    async def test_a_watch_returns_writes_and_removals_in_order(self) -> None:
         before = self.store.revision
         await self.store.put("servers/a", {"n": 1})
         await self.store.delete("servers/a")
         reading = await self.client.watch(Watched.ENDPOINTS, before, 1.0)
         self.assertEqual([c.value for c in reading.changes], [b'{"n": 1}', None])
 
-    async def test_a_watch_without_news_ends_after_its_wait(self) -> None:
+    async def test_a_watch_without_changes_ends_after_its_wait(self) -> None:
         reading = await self.client.watch(Watched.ENDPOINTS, self.store.revision, 0.1)
         self.assertEqual(reading.changes, ())
 
-    async def test_a_store_that_dropped_its_history_says_so(self) -> None:
+    async def test_a_watch_before_the_kept_history_raises_history_lost(self) -> None:
         self.store.history_from = 100
         with self.assertRaises(CodedError) as caught:
             await self.client.watch(Watched.ENDPOINTS, 5, 0.1)
         self.assertEqual(caught.exception.code, "history_lost")
 
-    async def test_a_store_that_hangs_costs_a_bounded_time(self) -> None:
-        """The store takes the connection and says nothing. A watch without an end of its own
-        would leave an entry deaf for as long as the connection stands."""
+    async def test_a_watch_of_a_hanging_store_times_out(self) -> None:
+        """The store accepts the connection and never answers. A watch without a timeout would keep
+        an entry without updates for as long as the connection stays open."""
         self.store.fault = "hang"
         began = time.monotonic()
         with self.assertRaises(CodedError):
             await self.client.watch(Watched.ENDPOINTS, 5, 0.2)
         self.assertLess(time.monotonic() - began, 3.0)
 
-    async def test_a_value_that_is_no_text_of_its_kind_names_nothing(self) -> None:
+    async def test_a_value_that_is_not_base64_becomes_empty(self) -> None:
         await self.store.put("servers/a", {"n": 1})
         self.store.items["servers/a"]["value"] = "!!"
         reading = await self.client.read(Watched.ENDPOINTS)
--- a/wasabidrum/platform/wire_records.py
+++ b/wasabidrum/platform/wire_records.py
@@ -1,17 +1,17 @@
-"""What the platform's store holds, in the platform's own words and units."""
+"""Records of the platform's store, with the platform's field names and units."""
 
 import msgspec
 
 
 class WireSplit(msgspec.Struct, frozen=True):
-    """One part of a route that is split."""
+    """One target of a route with split traffic."""
 
     service: str
     weight: float
 
 
 class WireRoute(msgspec.Struct, frozen=True):
-    """A route. The field called type is what may be repeated."""
+    """A route. The field type is "safe", "unsafe" or "streaming", and says what may be repeated."""
 
     name: str
     host: str
@@ -29,20 +29,20 @@
 
 
 class WireModel(msgspec.Struct, frozen=True):
-    """A model of a service's engines."""
+    """A model that the engines of a service run."""
 
     name: str
 
 
 class WireUsual(msgspec.Struct, frozen=True):
-    """Mean tokens of a request."""
+    """Mean numbers of tokens of a request's prompt and answer."""
 
     prompt: float = 1000.0
     answer: float = 100.0
 
 
 class WireEngine(msgspec.Struct, frozen=True):
-    """An engine's figures. The last parts of the names are units; sizes are in tokens."""
+    """Performance figures of an engine. Suffixes of the names are units; sizes are in tokens."""
 
     slots: int = 1
     kvCapacityTokens: int = 0  # noqa: N815
@@ -62,7 +62,7 @@
 
 
 class WireService(msgspec.Struct, frozen=True):
-    """A service; one with an origin gives weights and is on no list."""
+    """A service. One with an origin serves weights and has no entry among the endpoints."""
 
     name: str
     healthPath: str = ""  # noqa: N815
@@ -91,7 +91,7 @@
 
 
 class WireConfiguration(msgspec.Struct, frozen=True):
-    """The operator's newest configuration, in full."""
+    """The operator's complete current configuration."""
 
     version: int
     routes: tuple[WireRoute, ...] = ()
@@ -101,7 +101,7 @@
 
 
 class WireVersion(msgspec.Struct, frozen=True):
-    """Which weights a model is to have."""
+    """The version of its weights that a model is to have."""
 
     model: str
     version: int
@@ -115,7 +115,7 @@
 
 
 class WireLayers(msgspec.Struct, frozen=True, rename={"first": "from", "end": "to"}):
-    """Layers that an endpoint holds of one version; the end is not held."""
+    """A range of layers that an endpoint holds of one version, its end excluded."""
 
     first: int
     end: int
@@ -123,7 +123,7 @@
 
 
 class WireEndpoint(msgspec.Struct, frozen=True):
-    """An endpoint's own entry. The field version, of its software, is not used."""
+    """An endpoint's own entry. Its field version names its software and is not decoded."""
 
     service: str
     address: str
--- a/wasabidrum/scripts/command.py
+++ b/wasabidrum/scripts/command.py
@@ -1,4 +1,4 @@
-"""The seam between the tool and its commands."""
+"""The interface between the tool and its commands."""
 
 import argparse
 import typing
@@ -10,18 +10,18 @@
 
 
 class Command(typing.Protocol):
-    """One command of the tool: a module with these names.
+    """One command of the tool, implemented by a module with these names.
 
     Attributes:
-      NAME: The word on the command line.
-      HELP: One line for the list of commands.
+      NAME: The name of the command on the command line.
+      HELP: A line of help for the list of commands.
     """
 
     NAME: str
     HELP: str
 
     def add_arguments(self, parser: argparse.ArgumentParser) -> None:
-        """Declares the command's options; its description and examples come from its module."""
+        """Declares the options; the description and examples are the module's docstring."""
 
     def run(self, options: argparse.Namespace) -> int:
         """Runs the command and returns the exit status."""
--- a/wasabidrum/scripts/commands/bundle.py
+++ b/wasabidrum/scripts/commands/bundle.py
@@ -14,7 +14,7 @@
 import pathlib
 import sys
 
-from ...config.bundle import LARGEST_VALUE_BYTES, encode_bundle
+from ...config.bundle import MAX_VALUE_BYTES, encode_bundle
 from ...config.fleet_files import read_fleet_files
 from ...core.digest import digest_of
 from ..command import EXIT_FOUND, EXIT_OK
@@ -41,7 +41,7 @@
         pathlib.Path(options.output).write_bytes(content)
     else:
         sys.stdout.buffer.write(content)
-    share = 100.0 * len(content) / LARGEST_VALUE_BYTES
+    share = 100.0 * len(content) / MAX_VALUE_BYTES
     digest = digest_of(content)
     print(f"{len(content)} bytes ({share:.0f}% of the most), {digest}", file=sys.stderr)
     return EXIT_OK
--- a/wasabidrum/scripts/commands/diff.py
+++ b/wasabidrum/scripts/commands/diff.py
@@ -30,7 +30,7 @@
 
 
 def read_side(side: str) -> dict[str, RenderedValue] | None:
-    """Returns a side's values by name, or None once its findings were printed."""
+    """Returns the values of a side by name, or prints its findings and returns None."""
     base, _, overlay = side.partition(",")
     files = read_fleet_files(base, [overlay] if overlay else [])
     if files.findings:
--- a/wasabidrum/scripts/commands/explain.py
+++ b/wasabidrum/scripts/commands/explain.py
@@ -30,7 +30,7 @@
 
 NAME = "explain"
 HELP = "tell why a request was placed, queued or refused where it was"
-# Facts that stand in columns of their own, or that the operator gave.
+# Keys that are printed in columns of their own, or that the operator gave.
 COMMON_FACTS = frozenset(("t", "n", "event", "daemon", "request"))
 
 
@@ -44,12 +44,12 @@
 
 
 def clock_of(seconds: float) -> str:
-    """Returns a time of day with milliseconds."""
+    """Formats a time as the local time of day with milliseconds."""
     return time.strftime("%H:%M:%S", time.localtime(seconds)) + f".{int(seconds * 1000) % 1000:03d}"
 
 
 def print_events(request_id: str, events: list[dict[str, object]]) -> None:
-    """Prints the events of all daemons in one order."""
+    """Prints the events of all daemons, one a line."""
     for event in events:
         facts = " ".join(f"{key}={event[key]}" for key in event if key not in COMMON_FACTS)
         attempt = str(event["request"]).removeprefix(request_id)
@@ -57,7 +57,7 @@
 
 
 def print_memory(answers: list[FleetAnswer[FoundEvents]]) -> None:
-    """Prints how far back the daemons' memories reach, and who did not answer."""
+    """Prints how far back the daemons' event memories reach, and which daemons did not answer."""
     silent = [answer.instance.name for answer in answers if answer.answer is None]
     oldest = [answer.answer.oldest for answer in answers if answer.answer is not None]
     known = [seconds for seconds in oldest if seconds is not None]
@@ -68,7 +68,7 @@
 
 
 def print_found(options: argparse.Namespace, found: list[dict[str, object]]) -> int:
-    """Prints events by their time, as lines or as JSON; returns the exit status."""
+    """Prints events ordered by time, as text or as JSON; returns the exit status."""
     found.sort(key=lambda event: event["t"])
     if options.json:
         for event in found:
@@ -79,7 +79,7 @@
 
 
 async def show(client: FleetClient, options: argparse.Namespace) -> int:
-    """Asks everyone and prints what they remember."""
+    """Queries all daemons and prints the events that they hold; returns the exit status."""
     listed = await client.read_list()
     answers = await client.ask_events(listed.instances, options.request_id)
     found = [event for answer in answers if answer.answer for event in answer.answer.events]
@@ -90,7 +90,7 @@
 
 
 def read_events(lines: collections.abc.Iterable[str], request_id: str) -> list[dict[str, object]]:
-    """Returns the events of a request in log lines; lines that are no events are passed over."""
+    """Returns the events of a request in log lines; lines that are not events are skipped."""
     events = []
     for line in lines:
         if request_id not in line or "{" not in line:
@@ -105,7 +105,7 @@
 
 
 def show_logs(options: argparse.Namespace) -> int:
-    """Prints what log files tell of a request."""
+    """Prints the events of a request in log files; returns the exit status."""
     found: list[dict[str, object]] = []
     for name in options.log:
         try:
--- a/wasabidrum/scripts/commands/explain_test.py
+++ b/wasabidrum/scripts/commands/explain_test.py
@@ -1,4 +1,4 @@
-"""What became of a request, from log files alone."""
+"""Tests of explaining a request from log files."""
 
 import argparse
 import contextlib
@@ -16,10 +16,10 @@
 
 
 class ExplainLogsTest(unittest.TestCase):
-    """Lines as log keepers hand them out."""
+    """Log lines with the prefixes that a log collector adds, and broken ones."""
 
     def explain(self, request_id: str, *lines: str) -> tuple[int, list[str]]:
-        """Runs the command on a file with some lines."""
+        """Runs the command on a file with the given lines."""
         with tempfile.NamedTemporaryFile("w", suffix=".log") as file:
             file.write("\n".join(lines))
             file.flush()
@@ -29,7 +29,7 @@
                 status = explain.run(options)
         return status, printed.getvalue().splitlines()
 
-    def test_events_come_in_their_order_and_only_this_requests(self) -> None:
+    def test_prints_only_the_events_of_the_request_ordered_by_time(self) -> None:
         lines = (f"  12.5 e1 {json.dumps(PLACED)}", json.dumps(OTHER), json.dumps(REFUSED))
         status, printed = self.explain("r1", *lines)
         self.assertEqual(status, EXIT_OK)
@@ -38,17 +38,17 @@
         )
         self.assertIn("x=1", printed[1])
 
-    def test_lines_that_are_broken_disturb_nothing(self) -> None:
-        """A log is cut in the middle of a line when a process is killed. The rest of it still
-        has to tell what happened."""
-        whole = json.dumps(PLACED)
-        status, printed = self.explain("r1", whole[:40], "r1 {", "", whole)
+    def test_broken_lines_are_skipped(self) -> None:
+        """A log is truncated in the middle of a line when a process is killed. The other lines
+        must still be read."""
+        complete = json.dumps(PLACED)
+        status, printed = self.explain("r1", complete[:40], "r1 {", "", complete)
         self.assertEqual((status, len(printed)), (EXIT_OK, 1))
 
-    def test_a_request_that_no_log_names_is_said_to_be_missing(self) -> None:
+    def test_a_request_without_events_gives_the_status_not_found(self) -> None:
         self.assertEqual(self.explain("r2", json.dumps(PLACED))[0], EXIT_FOUND)
 
-    def test_a_file_that_cannot_be_read_is_told(self) -> None:
+    def test_an_unreadable_file_gives_the_status_usage(self) -> None:
         options = argparse.Namespace(request_id="r1", log=["/nowhere/at/all"], json=False)
         with contextlib.redirect_stderr(io.StringIO()):
             self.assertEqual(explain.run(options), EXIT_USAGE)
--- a/wasabidrum/scripts/commands/rollout.py
+++ b/wasabidrum/scripts/commands/rollout.py
@@ -25,7 +25,7 @@
 
 NAME = "rollout"
 HELP = "show live how far a version is"
-LOOK_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 BAR_WIDTH = 30
 MEBIBYTE = 1_048_576
 
@@ -40,7 +40,7 @@
 
 
 def describe(progress: RolloutProgress, estimate: float | None) -> str:
-    """Returns one look as a line with a bar."""
+    """Formats the progress as a line with a bar."""
     full = int(progress.fraction * BAR_WIDTH)
     bar = "#" * full + "." * (BAR_WIDTH - full)
     regions = ", ".join(
@@ -53,7 +53,7 @@
 
 
 def as_json(progress: RolloutProgress, estimate: float | None) -> str:
-    """Returns one look as a JSON line."""
+    """Formats the progress as a JSON line."""
     regions = {
         name: {"live": region.live, "wanted": region.wanted}
         for name, region in progress.regions.items()
@@ -71,38 +71,40 @@
     return json.dumps(line)
 
 
-async def look(client: FleetClient, version: str, origin_before: float) -> RolloutProgress:
-    """Asks every sidecar once."""
+async def query_progress(
+    client: FleetClient, version: str, origin_before: float
+) -> RolloutProgress:
+    """Queries all sidecars once and returns the progress."""
     listed = await client.read_list()
     sidecars = [one for one in listed.instances if one.role is InstanceRole.SIDECAR]
     answers = await client.ask_statuses(sidecars)
     origin = await client.ask_origin_bytes(sidecars)
     statuses = [answer.answer for answer in answers if answer.answer is not None]
-    drawn = max(0.0, origin - origin_before)
-    return measure_progress(version, statuses, time.time(), drawn)
+    fetched = max(0.0, origin - origin_before)
+    return measure_progress(version, statuses, time.time(), fetched)
 
 
 async def follow(client: FleetClient, options: argparse.Namespace) -> int:
-    """Looks again and again until every replica is live."""
+    """Queries repeatedly until all replicas are live or the time is over."""
     estimate = RolloutEstimate()
     listed = await client.read_list()
     before = await client.ask_origin_bytes(listed.instances)
     ends = time.monotonic() + options.seconds
     on_terminal = sys.stdout.isatty() and not options.json
     while True:
-        progress = await look(client, options.version, before)
-        left = estimate.take(progress)
+        progress = await query_progress(client, options.version, before)
+        left = estimate.add(progress)
         if options.json:
             print(as_json(progress, left), flush=True)
         else:
-            # On a terminal the bar stays on its line; in a log each look is a line.
+            # On a terminal, each sample overwrites the line; otherwise each has its own line.
             start, end = ("\r\x1b[K", "") if on_terminal else ("", "\n")
             print(start + describe(progress, left), end=end, flush=True)
         if progress.done or time.monotonic() >= ends:
             if on_terminal:
                 print()
             return EXIT_OK if progress.done else EXIT_FOUND
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 def run(options: argparse.Namespace) -> int:
--- a/wasabidrum/scripts/commands/status.py
+++ b/wasabidrum/scripts/commands/status.py
@@ -36,7 +36,7 @@
 
 
 def state_of(answer: FleetAnswer[Status]) -> str:
-    """Returns what the list and the daemon say of an instance's state."""
+    """Returns the state of an instance by the platform's list and its daemon."""
     listed = answer.instance.state
     if answer.answer is None:
         return f"no answer ({listed})"
@@ -46,7 +46,7 @@
 
 
 def row_of(answer: FleetAnswer[Status], now: float) -> tuple[str, ...]:
-    """Returns the cells of one instance."""
+    """Returns the table cells of one instance."""
     instance, status = answer.instance, answer.answer
     start = (instance.name, str(instance.role), instance.region)
     if status is None:
@@ -62,14 +62,14 @@
 
 
 def print_table(rows: list[tuple[str, ...]]) -> None:
-    """Prints rows in columns."""
+    """Prints rows in aligned columns."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         print("  ".join(map(str.ljust, row, widths)).rstrip())
 
 
 def print_report(report: FleetReport, now: float) -> None:
-    """Prints what is wrong, and then every instance."""
+    """Prints the problems, and then all instances."""
     age = now - report.listed.as_of
     print(f"{len(report.answers)} instances in a list that is {age:.1f} s old")
     for problem in report.problems():
@@ -80,7 +80,7 @@
 
 
 def print_json(report: FleetReport, now: float) -> None:
-    """Prints one line for the fleet and one an instance."""
+    """Prints one JSON line for the fleet and one for each instance."""
     fleet = {"revision": report.revision, "list_age_seconds": round(now - report.listed.as_of, 3)}
     print(json.dumps(fleet | {"problems": report.problems()}))
     for answer in report.answers:
@@ -91,7 +91,7 @@
 
 
 async def show(client: FleetClient, options: argparse.Namespace) -> int:
-    """Asks everyone and prints what they say."""
+    """Queries all daemons and prints their statuses; returns the exit status."""
     listed = await client.read_list()
     answers = await client.ask_statuses(listed.instances)
     report = FleetReport(listed, answers)
--- a/wasabidrum/scripts/daemon.py
+++ b/wasabidrum/scripts/daemon.py
@@ -19,9 +19,9 @@
 
 
 async def run(settings: Settings, identity: tls.FleetTls | None) -> None:
-    """Runs the daemon until SIGTERM or SIGINT, then leaves gracefully."""
+    """Runs the daemon until SIGTERM or SIGINT, then stops it gracefully."""
     log = make_event_log(settings.name, settings.log_file)
-    # Imported by role, so that neither role pays for the other's modules.
+    # Imported by role, so that no role loads the modules of the other.
     if settings.role == "entry":
         from ..entry.daemon import make_entry as make_daemon
     else:
@@ -32,7 +32,9 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     if identity is not None:
-        watching = asyncio.ensure_future(identity.watch(lambda fault: tell_change(log, fault)))
+        watching = asyncio.ensure_future(
+            identity.watch(lambda fault: log_certificate_change(log, fault))
+        )
     await daemon.start()
     await ended.wait()
     await daemon.stop()
@@ -40,8 +42,8 @@
         watching.cancel()
 
 
-def tell_change(log: EventLog, fault: str) -> None:
-    """Logs that new certificates are in force, or why they are not."""
+def log_certificate_change(log: EventLog, fault: str) -> None:
+    """Logs that new certificates are in force, or why they were refused."""
     if fault:
         log.write(Event.CERTIFICATES_REFUSED, reason=fault)
     else:
@@ -49,20 +51,20 @@
 
 
 class DeployedDaemon(typing.Protocol):
-    """A daemon whose settings the platform places."""
+    """A daemon whose settings the platform provides."""
 
     async def start(self) -> None:
-        """Listens and starts."""
+        """Starts to listen and to work."""
 
     async def stop(self) -> None:
-        """Leaves gracefully."""
+        """Stops gracefully."""
 
     def reload(self, deployment: Deployment) -> list[str]:
-        """Takes new settings; returns the names of those that are in force now."""
+        """Applies new settings; returns the names of those that changed."""
 
 
 async def run_deployed(deployment: Deployment) -> None:
-    """Runs the daemon that the platform asks for until SIGTERM, then leaves gracefully."""
+    """Runs the daemon with the role in the deployment until SIGTERM or SIGINT, then stops it."""
     log = make_output_log(deployment.name)
     tell_library_lines(log)
     if deployment.role == "entry":
@@ -81,7 +83,7 @@
 
 
 def reload_deployment(daemon: DeployedDaemon, log: EventLog) -> None:
-    """Reads the platform's settings again, and puts in force what may change while running."""
+    """Reads the platform's settings again, and applies those that may change at run time."""
     from ..platform.boot_settings import read_deployment
 
     try:
@@ -93,7 +95,7 @@
 
 
 def main() -> int:
-    """Parses the command line and runs the daemon."""
+    """Parses the command line and runs the daemon; returns the exit status."""
     parser = argparse.ArgumentParser(prog="wasabidrumd", description=__doc__)
     source = parser.add_mutually_exclusive_group(required=True)
     source.add_argument("--settings", metavar="FILE", help="YAML settings")
@@ -103,7 +105,8 @@
     options = parser.parse_args()
     if options.deployed:
         return main_deployed()
-    # The YAML reader costs a megabyte; the settings that the platform places are JSON.
+    # Imported only here: the YAML reader takes a megabyte of memory, and the settings that the
+    # platform provides are JSON.
     from ..config.settings_file import read_settings
 
     settings, findings = read_settings(options.settings)
@@ -121,7 +124,7 @@
 
 
 def main_deployed() -> int:
-    """Runs with the settings that the platform placed."""
+    """Runs with the settings that the platform provides; returns the exit status."""
     from ..platform.boot_settings import read_deployment
 
     try:
--- a/wasabidrum/scripts/fleet_answer.py
+++ b/wasabidrum/scripts/fleet_answer.py
@@ -1,4 +1,4 @@
-"""What one daemon answered to the tool."""
+"""The answer of one daemon to the tool."""
 
 import dataclasses
 import typing
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetAnswer(typing.Generic[Answer]):
-    """A daemon's answer, or None where it gave none.
+    """The answer of a daemon, or None where it did not answer.
 
     Attributes:
-      at: When the answer came, in seconds since the epoch.
+      at: When the query ended, in seconds since the epoch.
     """
 
     instance: Instance
--- a/wasabidrum/scripts/fleet_options.py
+++ b/wasabidrum/scripts/fleet_options.py
@@ -1,4 +1,4 @@
-"""The options of every command that asks the fleet, and how such a command runs."""
+"""The options of the commands that query the fleet, and the function that runs them."""
 
 import argparse
 import asyncio
@@ -15,7 +15,7 @@
 
 
 def add_fleet_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declares where the fleet is found."""
+    """Declares the options by which the fleet is found."""
     parser.add_argument(
         "--settings",
         metavar="FILE",
@@ -26,7 +26,7 @@
 
 
 def run_with_fleet(options: argparse.Namespace, work: Work) -> int:
-    """Runs a command that asks the fleet, and returns its exit status."""
+    """Runs a command that queries the fleet; returns its exit status."""
     url = options.instances
     if options.settings:
         settings, findings = read_settings(options.settings)
@@ -41,7 +41,7 @@
             return EXIT_USAGE
         url = url or settings.platform.instances
     if not url:
-        print("say where the fleet is found, with --settings or --instances", file=sys.stderr)
+        print("specify where to find the fleet with --settings or --instances", file=sys.stderr)
         return EXIT_USAGE
 
     async def run() -> int:
--- a/wasabidrum/scripts/fleet_report.py
+++ b/wasabidrum/scripts/fleet_report.py
@@ -1,4 +1,4 @@
-"""What the accounts of all daemons say together."""
+"""A summary of the status of all daemons."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetReport:
-    """The platform's list, and each daemon's account of itself."""
+    """The platform's list of instances, and the status of each daemon."""
 
     listed: InstanceList
     answers: list[FleetAnswer[Status]]
@@ -19,49 +19,55 @@
 
     @property
     def statuses(self) -> list[Status]:
-        """The accounts of those that answered."""
+        """The statuses of the daemons that answered."""
         return [answer.answer for answer in self.answers if answer.answer is not None]
 
     @property
     def revision(self) -> int:
-        """The highest revision in force anywhere."""
+        """The highest revision in force at any daemon."""
         return max((status.revision for status in self.statuses), default=0)
 
     def problems(self) -> list[str]:
-        """Returns what operators should see first, refused revisions before the rest."""
-        return [*self.refusals(), *self.alarms(), *self.laggards(), *self.silent(), *self.failed()]
+        """Returns all problems as lines, refused revisions first."""
+        return [
+            *self.refusals(),
+            *self.alarms(),
+            *self.outdated(),
+            *self.unreachable(),
+            *self.failed_loads(),
+        ]
 
     def refusals(self) -> list[str]:
-        """Returns each refused revision once, with its faults and who refuses it."""
+        """Returns a line for each refused revision: its faults, and the daemons that refuse it."""
         names: dict[tuple[int, str], list[str]] = {}
         for status in self.statuses:
             if status.refused_revision:
                 key = (status.refused_revision, status.refused_reason)
                 names.setdefault(key, []).append(status.name)
         return [
-            f"REFUSED revision {revision} at {count(who, self.statuses)}: {reason}"
+            f"REFUSED revision {revision} at {describe_daemons(who, self.statuses)}: {reason}"
             for (revision, reason), who in sorted(names.items(), reverse=True)
         ]
 
     def alarms(self) -> list[str]:
-        """Returns what is wrong with the revisions themselves."""
-        told = {status.alarm for status in self.statuses if status.alarm}
+        """Returns a line for each inconsistency among the revisions."""
+        messages = {status.alarm for status in self.statuses if status.alarm}
         by_revision: dict[int, set[str]] = {}
         for status in self.statuses:
             by_revision.setdefault(status.revision, set()).add(status.config_digest)
         split = [revision for revision, digests in by_revision.items() if len(digests) > 1]
-        told |= {f"revision {revision} is in force with two contents" for revision in split}
-        return [f"ALARM {alarm}" for alarm in sorted(told)]
+        messages |= {f"revision {revision} is in force with two contents" for revision in split}
+        return [f"ALARM {alarm}" for alarm in sorted(messages)]
 
-    def laggards(self) -> list[str]:
-        """Returns who has an older revision in force than others."""
+    def outdated(self) -> list[str]:
+        """Returns a line that lists the daemons with an older revision in force than others."""
         behind = [status.name for status in self.statuses if status.revision < self.revision]
         if not behind:
             return []
         return [f"BEHIND revision {self.revision}: {', '.join(behind)}"]
 
-    def silent(self) -> list[str]:
-        """Returns who is listed as live and gave no answer."""
+    def unreachable(self) -> list[str]:
+        """Returns a line that lists the instances that are listed as live and did not answer."""
         names = [
             answer.instance.name
             for answer in self.answers
@@ -69,8 +75,8 @@
         ]
         return [f"NO ANSWER from {', '.join(names)}"] if names else []
 
-    def failed(self) -> list[str]:
-        """Returns the versions that endpoints could not load."""
+    def failed_loads(self) -> list[str]:
+        """Returns a line for each version that endpoints could not load."""
         names: dict[str, list[str]] = {}
         for status in self.statuses:
             if status.failed_version:
@@ -78,8 +84,8 @@
         return [f"FAILED version {version} at {', '.join(who)}" for version, who in names.items()]
 
 
-def count(names: list[str], everyone: list[Status]) -> str:
-    """Returns how many, and who where that is few."""
-    if len(names) == len(everyone):
+def describe_daemons(names: list[str], all_statuses: list[Status]) -> str:
+    """Returns the number of the named daemons and, unless they are all, the first names."""
+    if len(names) == len(all_statuses):
         return f"all {len(names)} daemons"
-    return f"{len(names)} of {len(everyone)} daemons ({', '.join(names[:5])})"
+    return f"{len(names)} of {len(all_statuses)} daemons ({', '.join(names[:5])})"
--- a/wasabidrum/scripts/rollout_progress.py
+++ b/wasabidrum/scripts/rollout_progress.py
@@ -1,4 +1,4 @@
-"""How far a rollout is, and when it may end."""
+"""The progress of a rollout, and an estimate of the time left."""
 
 import collections
 import dataclasses
@@ -10,7 +10,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RegionProgress:
-    """Replicas of one region: wanted, live, and the parts that the others hold."""
+    """The replicas of one region.
+
+    Attributes:
+      wanted: Replicas that are to run the version.
+      live: Replicas that answer with it.
+      held: The fractions of its chunks that the other replicas hold, summed.
+    """
 
     wanted: int = 0
     live: int = 0
@@ -19,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RolloutProgress:
-    """One look at a rollout."""
+    """The progress of a rollout at one time."""
 
     version: str
     at: float
@@ -29,30 +35,30 @@
 
     @property
     def wanted(self) -> int:
-        """How many replicas the files want to answer with the version."""
+        """The number of replicas that are to run the version."""
         return sum(region.wanted for region in self.regions.values())
 
     @property
     def live(self) -> int:
-        """How many of these answer with it."""
+        """The number of these that answer with it."""
         return sum(region.live for region in self.regions.values())
 
     @property
     def fraction(self) -> float:
-        """The part of all chunks that is at hand, a live replica counting as whole."""
+        """The fraction of all chunks that is present, where a live replica has all of them."""
         held = sum(region.live + region.held for region in self.regions.values())
         return held / self.wanted if self.wanted else 0.0
 
     @property
     def done(self) -> bool:
-        """Whether every replica answers with the version."""
+        """Whether all replicas answer with the version; false where none is wanted."""
         return 0 < self.wanted == self.live
 
 
 def measure_progress(
     version: str, statuses: list[Status], at: float, origin_bytes: float
 ) -> RolloutProgress:
-    """Returns how far a version is, by what the sidecars say."""
+    """Computes the progress of a version from the statuses of the sidecars."""
     regions: dict[str, RegionProgress] = {}
     failed = []
     for status in statuses:
@@ -70,19 +76,19 @@
 
 
 class RolloutEstimate:
-    """Tells from the latest looks when a rollout may end."""
+    """Estimates the time left of a rollout from its recent progress."""
 
-    __slots__ = ("_looks",)
+    __slots__ = ("_samples",)
 
     def __init__(self) -> None:
-        self._looks: collections.deque[RolloutProgress] = collections.deque()
-
-    def take(self, progress: RolloutProgress) -> float | None:
-        """Takes a look; returns seconds to the end at the pace since, or None if none shows."""
-        self._looks.append(progress)
-        while progress.at - self._looks[0].at > ESTIMATE_WINDOW_SECONDS:
-            self._looks.popleft()
-        first = self._looks[0]
+        self._samples: collections.deque[RolloutProgress] = collections.deque()
+
+    def add(self, progress: RolloutProgress) -> float | None:
+        """Adds a sample; returns the seconds left, or None where there is no progress to go by."""
+        self._samples.append(progress)
+        while progress.at - self._samples[0].at > ESTIMATE_WINDOW_SECONDS:
+            self._samples.popleft()
+        first = self._samples[0]
         gained = progress.fraction - first.fraction
         if progress.done:
             return 0.0
--- a/wasabidrum/scripts/rollout_progress_test.py
+++ b/wasabidrum/scripts/rollout_progress_test.py
@@ -1,4 +1,4 @@
-"""Tests of how far a rollout is."""
+"""Tests of the progress of a rollout."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def make_status(region: str, held: int, live: bool = False, wanted: str = "v2") -> Status:
-    """Returns the account of a sidecar that fetches v2 in 10 chunks."""
+    """Returns the status of a sidecar that fetches v2, which has 10 chunks."""
     return Status(
         name=f"{region}-{held}",
         role=InstanceRole.SIDECAR,
@@ -23,22 +23,22 @@
 
 
 class RolloutProgressTest(unittest.TestCase):
-    """Replicas, regions and the estimate add up."""
+    """Counts of replicas by region, and the estimate of the time left."""
 
-    def test_counts_by_region_and_estimates_from_the_pace(self) -> None:
+    def test_counts_by_region_and_estimates_from_the_rate(self) -> None:
         estimate = RolloutEstimate()
         early = [make_status("a", 0), make_status("b", 0), make_status("b", 3, wanted="v1")]
         first = measure_progress("v2", early, 100.0, 0.0)
         self.assertEqual((first.wanted, first.live, first.fraction), (2, 0, 0.0))
-        self.assertIsNone(estimate.take(first))
+        self.assertIsNone(estimate.add(first))
         later = [make_status("a", 10, live=True), make_status("b", 5)]
         second = measure_progress("v2", later, 106.0, 0.0)
         self.assertEqual((second.regions["a"].live, second.regions["b"].live), (1, 0))
         self.assertEqual(second.fraction, 0.75)
-        self.assertAlmostEqual(estimate.take(second), 2.0)
+        self.assertAlmostEqual(estimate.add(second), 2.0)
         self.assertFalse(second.done)
 
     def test_nothing_wanted_is_not_done(self) -> None:
-        """An operator asks after a version that nobody wants, perhaps a slip of the pen. Told
-        that it is live everywhere, they would take the fleet to run it."""
+        """An operator asks for a version that no replica is to run, perhaps by a typing error. A
+        report that it is live everywhere would be wrong."""
         self.assertFalse(measure_progress("v9", [make_status("a", 1)], 0.0, 0.0).done)
--- a/wasabidrum/scripts/tool_test.py
+++ b/wasabidrum/scripts/tool_test.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that need files alone."""
+"""Tests of the commands that only read files."""
 
 import contextlib
 import io
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 
 from ..config.bundle import decode_bundle
-from ..config.placed_tree import PlacedTree
+from ..config.located_tree import LocatedTree
 from ..config.rendering import Rendering
 from ..config.sample_files import BASE, OVERLAY, write_files
 from ..config.yaml_file import read_yaml
@@ -26,7 +26,7 @@
 
 
 def run_tool(*arguments: str) -> tuple[int, str]:
-    """Runs the tool in this process; returns its exit status and output."""
+    """Runs the tool in this process; returns its exit status and standard output."""
     output = io.TextIOWrapper(io.BytesIO(), write_through=True)
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(io.StringIO()):
         try:
@@ -37,7 +37,7 @@
 
 
 class ToolTest(unittest.TestCase):
-    """check, render, diff and bundle agree on what the files say."""
+    """The commands check, render, diff and bundle on the same files."""
 
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -57,14 +57,14 @@
         for command in ("render", "bundle"):
             self.assertEqual(run_tool(command, self.base)[0], EXIT_FOUND)
 
-    def test_render_says_where_each_value_comes_from(self) -> None:
+    def test_render_prints_the_source_of_each_value(self) -> None:
         lines = run_tool("render", self.base, self.overlay, "--sources")[1].splitlines()
         self.assertIn(f"  body_bytes: 2000  # {self.overlay}:1:22", lines)
         self.assertIn(f'    version: "v1"  # {self.base}:4:14', lines)
         bundled = decode_bundle(run_tool("bundle", self.base, self.overlay)[1].encode())
         self.assertEqual(list(bundled.overlays), ["rift"])
 
-    def test_diff_shows_values_and_not_their_order(self) -> None:
+    def test_diff_ignores_order_and_comments(self) -> None:
         moved = pathlib.Path(self.folder) / "moved.yaml"
         moved.write_text("# A comment.\n" + BASE, encoding="utf-8")
         self.assertEqual(run_tool("diff", self.base, str(moved)), (EXIT_OK, ""))
@@ -74,10 +74,10 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(strategies.dictionaries(PLAIN_TEXT, TREES, max_size=4))
-    def test_a_rendering_reads_back_as_the_same_values(self, tree: dict[str, object]) -> None:
-        """Operators keep a rendering and check it later. A name such as "no" or "1.10" that
-        came back as another kind of value would make it a different fleet."""
-        lines = Rendering(tree, (PlacedTree("f", tree),)).lines(sources=False)
+    def test_a_rendering_is_read_back_as_the_same_values(self, tree: dict[str, object]) -> None:
+        """Operators keep a rendering and check it later. If a key such as "no" or "1.10" were
+        read back as another type, it would describe a different fleet."""
+        lines = Rendering(tree, (LocatedTree("f", tree),)).lines(sources=False)
         text = "\n".join(lines) or "{}"
         read, findings = read_yaml("rendering", text.encode())
         self.assertEqual(findings, [])
