--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -11,7 +11,7 @@
 )
 from ..observe.event import Event
 from ..observe.event_log import EventLog
-from ..platform.store_client import StoreClient, Watched
+from ..platform.store_client import KeyPrefix, StoreClient
 from .published_state import PublishedState
 
 # How long a watch waits for changes. A watch that ends without any renews the lease on the
@@ -79,13 +79,13 @@
         state = self._state
         if not state.revision or self._history_lost:
             self._unchanged_until = float("-inf")
-            reading = await self._store.read(Watched.ALL)
+            reading = await self._store.read(KeyPrefix.ALL)
             self._record_answer()
             state.apply_snapshot(reading, asyncio.get_running_loop().time())
             self._history_lost = False
         else:
             # A single watch returns changes of configuration, versions and endpoints in order.
-            reading = await self._store.watch(Watched.ALL, state.revision, WATCH_SECONDS)
+            reading = await self._store.watch(KeyPrefix.ALL, state.revision, WATCH_SECONDS)
             self._record_answer()
             self._detect_stall()
             answered_at = awake_seconds()
--- a/wasabidrum/platform/store_client.py
+++ b/wasabidrum/platform/store_client.py
@@ -49,7 +49,7 @@
     asOf: int  # noqa: N815
 
 
-class Watched(enum.StrEnum):
+class KeyPrefix(enum.StrEnum):
     """The key prefixes by which the store is read or watched."""
 
     ALL = ""
@@ -72,7 +72,7 @@
         self._url = f"http://{address}"
         self.calls = 0
 
-    async def read(self, prefix: Watched) -> StoreReading:
+    async def read(self, prefix: KeyPrefix) -> StoreReading:
         """Returns every item whose key begins with a prefix.
 
         Raises:
@@ -96,7 +96,7 @@
             after = page.items[-1].key
         return StoreReading(tuple(changes), first or 0)
 
-    async def watch(self, prefix: Watched, after: int, wait_seconds: float) -> StoreReading:
+    async def watch(self, prefix: KeyPrefix, after: int, wait_seconds: float) -> StoreReading:
         """Waits for changes after a revision; returns none if the wait ends without any.
 
         Raises:
--- a/wasabidrum/platform/store_client_test.py
+++ b/wasabidrum/platform/store_client_test.py
@@ -8,7 +8,7 @@
 from ..config.deployment import Address
 from ..core.errors import CodedError
 from ..wire import http_client
-from .store_client import Watched, make_store_client
+from .store_client import KeyPrefix, make_store_client
 
 
 class StoreClientTest(unittest.IsolatedAsyncioTestCase):
@@ -27,7 +27,7 @@
         for number in range(8):
             await self.store.put(f"servers/{number}", {"n": number})
         await self.store.put("op/config", {"version": 1})
-        reading = await self.client.read(Watched.ENDPOINTS)
+        reading = await self.client.read(KeyPrefix.ENDPOINTS)
         self.assertEqual([c.key for c in reading.changes], [f"servers/{n}" for n in range(8)])
         self.assertEqual(reading.revision, self.store.revision)
 
@@ -35,17 +35,17 @@
         before = self.store.revision
         await self.store.put("servers/a", {"n": 1})
         await self.store.delete("servers/a")
-        reading = await self.client.watch(Watched.ENDPOINTS, before, 1.0)
+        reading = await self.client.watch(KeyPrefix.ENDPOINTS, before, 1.0)
         self.assertEqual([c.value for c in reading.changes], [b'{"n": 1}', None])
 
     async def test_a_watch_without_changes_ends_after_its_wait(self) -> None:
-        reading = await self.client.watch(Watched.ENDPOINTS, self.store.revision, 0.1)
+        reading = await self.client.watch(KeyPrefix.ENDPOINTS, self.store.revision, 0.1)
         self.assertEqual(reading.changes, ())
 
     async def test_a_watch_before_the_kept_history_raises_history_lost(self) -> None:
         self.store.history_from = 100
         with self.assertRaises(CodedError) as caught:
-            await self.client.watch(Watched.ENDPOINTS, 5, 0.1)
+            await self.client.watch(KeyPrefix.ENDPOINTS, 5, 0.1)
         self.assertEqual(caught.exception.code, "history_lost")
 
     async def test_a_watch_of_a_hanging_store_times_out(self) -> None:
@@ -54,11 +54,11 @@
         self.store.fault = "hang"
         began = time.monotonic()
         with self.assertRaises(CodedError):
-            await self.client.watch(Watched.ENDPOINTS, 5, 0.2)
+            await self.client.watch(KeyPrefix.ENDPOINTS, 5, 0.2)
         self.assertLess(time.monotonic() - began, 3.0)
 
     async def test_a_value_that_is_not_base64_becomes_empty(self) -> None:
         await self.store.put("servers/a", {"n": 1})
         self.store.items["servers/a"]["value"] = "!!"
-        reading = await self.client.read(Watched.ENDPOINTS)
+        reading = await self.client.read(KeyPrefix.ENDPOINTS)
         self.assertEqual(reading.changes[0].value, b"")
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -17,7 +17,7 @@
 from ..peers.member_view import MemberView, MemberViews
 from ..platform import published_records
 from ..platform.published_records import ItemKind, kind_of
-from ..platform.store_client import StoreClient, Watched
+from ..platform.store_client import KeyPrefix, StoreClient
 from .chunk_member import make_chunk_member, region_of_centre
 from .shared_readings import (
     EngineSetting,
@@ -207,7 +207,7 @@
                     self._log.write(Event.STORE_BACK, failures=failures)
                     failures = 0
                 while True:
-                    reading = await self._store.watch(Watched.VERSIONS, revision, WATCH_SECONDS)
+                    reading = await self._store.watch(KeyPrefix.VERSIONS, revision, WATCH_SECONDS)
                     revision = reading.revision
                     for change in reading.changes:
                         await self._take_version(change)
@@ -262,14 +262,14 @@
             await self._readings.keep_setting(setting)
         self.model = setting.model
         self.layers = setting.layers
-        reading = await self._store.read(Watched.VERSIONS)
+        reading = await self._store.read(KeyPrefix.VERSIONS)
         for change in reading.changes:
             await self._take_version(change)
         self._known = True
         return reading.revision
 
     async def _read_setting(self) -> EngineSetting:
-        reading = await self._store.read(Watched.CONFIGURATION)
+        reading = await self._store.read(KeyPrefix.CONFIGURATION)
         for change in reading.changes:
             if kind_of(change.key) is ItemKind.CONFIGURATION and change.value is not None:
                 configuration = published_records.decode_configuration(change.value)
@@ -279,7 +279,7 @@
         raise CodedError("configuration_missing", "this engine's service is not published")
 
     async def _read_members(self) -> None:
-        reading = await self._store.read(Watched.ENDPOINTS)
+        reading = await self._store.read(KeyPrefix.ENDPOINTS)
         members = []
         for change in reading.changes:
             endpoint_id = published_records.endpoint_id_of(change.key)
