--- a/wasabidrum/platform/origin_client.py
+++ b/wasabidrum/platform/origin_client.py
@@ -51,10 +51,10 @@
         except msgspec.MsgspecError as error:
             raise CodedError("source_unreadable", str(error), 503) from error
         pieces = PieceList(model, wire.version, wire.chunkBytes, wire.digests)
-        self.take_list(pieces)
+        self.add_list(pieces)
         return pieces
 
-    def take_list(self, pieces: PieceList) -> None:
+    def add_list(self, pieces: PieceList) -> None:
         """Registers the pieces of a list, so that fetch finds them by their digests."""
         for number, digest in enumerate(pieces.digests):
             self._pieces[digest] = (pieces.model, pieces.version, number)
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -283,7 +283,7 @@
         self._origin.set_address(*self._listed.origin)
         shared = await self._listed.read_version(wanted)
         if shared is not None:
-            self._origin.take_list(shared.pieces)
+            self._origin.add_list(shared.pieces)
         else:
             await self._listed.read_members()
             pieces = await self._origin.read_list(self._listed.model, wanted)
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -290,7 +290,7 @@
         shared = await self._readings.ask_version(peers, wanted)
         if shared is None:
             return None
-        self._origin.take_list(shared.pieces)
+        self._origin.add_list(shared.pieces)
         return shared.pieces
 
 
