--- a/wasabidrum/peers/claim_fetcher.py
+++ b/wasabidrum/peers/claim_fetcher.py
@@ -7,7 +7,7 @@
 from ..core.digest import digest_of
 from ..core.errors import CodedError
 from ..decisions.revision_tracker import ClaimVerdict
-from ..platform.http_configuration_service import LARGEST_VALUE_BYTES
+from ..platform.http_configuration_service import MAX_VALUE_BYTES
 from . import peer_client
 from .configuration_follower import ConfigurationFollower
 
@@ -69,7 +69,7 @@
     try:
         opener = zlib.decompressobj()
         # Bounded, so that a broken or hostile peer cannot fill the memory with a small reply.
-        content = opener.decompress(compressed, LARGEST_VALUE_BYTES + 1)
+        content = opener.decompress(compressed, MAX_VALUE_BYTES + 1)
     except zlib.error as error:
         raise CodedError("configuration_corrupt", str(error), 503) from error
     if not opener.eof or digest_of(content) != digest:
--- a/wasabidrum/platform/http_configuration_service.py
+++ b/wasabidrum/platform/http_configuration_service.py
@@ -9,7 +9,7 @@
 
 REVISION_HEADER = "X-Revision"
 READ_TIMEOUT_SECONDS = 5.0
-LARGEST_VALUE_BYTES = 1_048_576
+MAX_VALUE_BYTES = 1_048_576
 
 
 class HttpConfigurationService:
@@ -48,7 +48,7 @@
                 f"the configuration service answered status {response.code}",
                 503,
             )
-        if len(response.body) > LARGEST_VALUE_BYTES:
+        if len(response.body) > MAX_VALUE_BYTES:
             raise CodedError("configuration_too_large", f"{len(response.body)} bytes", 503)
         revision = response.headers.get(REVISION_HEADER, "")
         if not revision.isdecimal():
