--- a/bench/demo.py
+++ b/bench/demo.py
@@ -242,7 +242,7 @@
         client = FleetClient(url)
         try:
             listed = await client.read_list()
-            answers = await client.ask_statuses(listed.instances)
+            answers = await client.fetch_statuses(listed.instances)
             print_report(FleetReport(listed, answers), time.time())
         except CodedError as error:
             self.missed.append(f"status: {error}")
--- a/wasabidrum/scripts/commands/explain.py
+++ b/wasabidrum/scripts/commands/explain.py
@@ -81,7 +81,7 @@
 async def show(client: FleetClient, options: argparse.Namespace) -> int:
     """Queries all daemons and prints the events that they hold; returns the exit status."""
     listed = await client.read_list()
-    answers = await client.ask_events(listed.instances, options.request_id)
+    answers = await client.fetch_events(listed.instances, options.request_id)
     found = [event for answer in answers if answer.answer for event in answer.answer.events]
     status = print_found(options, found)
     if not options.json:
--- a/wasabidrum/scripts/commands/rollout.py
+++ b/wasabidrum/scripts/commands/rollout.py
@@ -77,8 +77,8 @@
     """Queries all sidecars once and returns the progress."""
     listed = await client.read_list()
     sidecars = [one for one in listed.instances if one.role is InstanceRole.SIDECAR]
-    answers = await client.ask_statuses(sidecars)
-    origin = await client.ask_origin_bytes(sidecars)
+    answers = await client.fetch_statuses(sidecars)
+    origin = await client.fetch_origin_bytes(sidecars)
     statuses = [answer.answer for answer in answers if answer.answer is not None]
     fetched = max(0.0, origin - origin_before)
     return measure_progress(version, statuses, time.time(), fetched)
@@ -88,7 +88,7 @@
     """Queries repeatedly until all replicas are live or the time is over."""
     estimate = RolloutEstimate()
     listed = await client.read_list()
-    before = await client.ask_origin_bytes(listed.instances)
+    before = await client.fetch_origin_bytes(listed.instances)
     ends = time.monotonic() + options.seconds
     on_terminal = sys.stdout.isatty() and not options.json
     while True:
--- a/wasabidrum/scripts/commands/status.py
+++ b/wasabidrum/scripts/commands/status.py
@@ -93,7 +93,7 @@
 async def show(client: FleetClient, options: argparse.Namespace) -> int:
     """Queries all daemons and prints their statuses; returns the exit status."""
     listed = await client.read_list()
-    answers = await client.ask_statuses(listed.instances)
+    answers = await client.fetch_statuses(listed.instances)
     report = FleetReport(listed, answers)
     (print_json if options.json else print_report)(report, time.time())
     return EXIT_FOUND if report.problems() else EXIT_OK
--- a/wasabidrum/scripts/fleet_client.py
+++ b/wasabidrum/scripts/fleet_client.py
@@ -42,18 +42,18 @@
         """
         return await self._directory.read()
 
-    async def ask_statuses(self, instances: Instances) -> list[FleetAnswer[Status]]:
+    async def fetch_statuses(self, instances: Instances) -> list[FleetAnswer[Status]]:
         """Requests the status of each daemon."""
         return await self._request_all(instances, "/internal/status", read_json(Status))
 
-    async def ask_events(
+    async def fetch_events(
         self, instances: Instances, request_id: str
     ) -> list[FleetAnswer[FoundEvents]]:
         """Requests the events of a request that each daemon still holds in memory."""
         path = "/internal/events?" + urllib.parse.urlencode({"request": request_id})
         return await self._request_all(instances, path, read_json(FoundEvents))
 
-    async def ask_origin_bytes(self, instances: Instances) -> float:
+    async def fetch_origin_bytes(self, instances: Instances) -> float:
         """Returns the bytes of weights that the daemons fetched from the origin since start."""
         answers = await self._request_all(instances, "/metrics", read_origin_bytes)
         return sum(answer.answer or 0.0 for answer in answers)
