--- a/wasabidrum/core/requests_in_progress.py
+++ b/wasabidrum/core/requests_in_progress.py
@@ -21,7 +21,7 @@
         return self._count
 
     @contextlib.contextmanager
-    def one(self) -> collections.abc.Iterator[None]:
+    def track(self) -> collections.abc.Iterator[None]:
         """Counts one request for the duration of a with block."""
         self._count += 1
         self._idle.clear()
--- a/wasabidrum/entry/caller_handler.py
+++ b/wasabidrum/entry/caller_handler.py
@@ -137,7 +137,7 @@
         self.body = b"".join(self._parts)
         self.running = asyncio.ensure_future(respond())
         try:
-            with self.entry.requests.one():
+            with self.entry.requests.track():
                 await self.running
         except (asyncio.CancelledError, iostream.StreamClosedError):
             return
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -93,7 +93,7 @@
         if self._connection.stream.closed():
             self._log(Event.REQUEST_CANCELLED, code="cancelled", outcome=Outcome.NOT_RUN.value)
             return
-        with self._gateway.requests.one():
+        with self._gateway.requests.track():
             try:
                 await self._serve(self._head)
             except CodedError as error:
--- a/wasabidrum/sidecar/call_handlers.py
+++ b/wasabidrum/sidecar/call_handlers.py
@@ -62,7 +62,7 @@
 
     async def post(self) -> None:
         """Runs one attempt in a task of its own, so that it can be ended at any moment."""
-        with self.sidecar.requests.one():
+        with self.sidecar.requests.track():
             try:
                 self.check_taking_work()
                 order = msgspec.json.decode(self.request.body, type=GenerateRequest)
@@ -136,7 +136,7 @@
 
     async def post(self) -> None:
         """Answers one copy of a call; one that may not be repeated runs once for all copies."""
-        with self.sidecar.requests.one():
+        with self.sidecar.requests.track():
             attempt_id = self.request.headers.get(headers.ATTEMPT_ID, "")
             try:
                 attempt = read_attempt(self.request.headers, self.request.body)
@@ -161,7 +161,7 @@
         start_before = min(attempt.start_before, calls.uptime + attempt.patience)
 
         async def work() -> ServiceReply:
-            with self.sidecar.requests.one():
+            with self.sidecar.requests.track():
                 return await self.send(attempt, attempt.patience + LATE_ANSWER_SECONDS)
 
         return await calls.run(
