--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -14,7 +14,7 @@
     run_and_reset,
     stream_events,
 )
-from wasabidrum.core.awake_clock import awake_seconds
+from wasabidrum.core.boot_clock import boot_seconds
 from wasabidrum.core.errors import CodedError
 from wasabidrum.gateway.exchange import CallerExchange
 from wasabidrum.platform import names
@@ -376,7 +376,7 @@
         bound no key passes, good or bad, and the caller is told to come back."""
         self.fleet.store.fault = "hang"
         lease = self.gateway.state.lease
-        await self.fleet.wait_until(lambda: not lease.is_valid(awake_seconds()), 8.0)
+        await self.fleet.wait_until(lambda: not lease.is_valid(boot_seconds()), 8.0)
         self.assertFalse(self.gateway.ready)
         reply = await self.fleet.ask(0, "tally", "safe", "r1", KEY)
         self.assertEqual(reply.status, 503)
--- a/tests/gateway_traps_test.py
+++ b/tests/gateway_traps_test.py
@@ -6,7 +6,7 @@
 
 from tests.gateway_test import KEY, GatewayCase
 from tests.listed_platform import answer_ok, head_of, make_configuration, stream_events
-from wasabidrum.core import awake_clock
+from wasabidrum.core import boot_clock
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import names
 
@@ -192,12 +192,12 @@
         event loop's clock no time has passed, and the entry would believe what it knew."""
         self.assertEqual((await self.fleet.ask(0, "tally", "safe", "r0", KEY)).status, 200)
         self.fleet.store.fault = "hang"
-        real = awake_clock.time.clock_gettime
+        real = boot_clock.time.clock_gettime
 
         def later(clock: int) -> float:
             return real(clock) + LATER_SECONDS
 
-        with mock.patch.object(awake_clock.time, "clock_gettime", later):
+        with mock.patch.object(boot_clock.time, "clock_gettime", later):
             self.assertFalse(self.gateway.ready)
             reply = await self.fleet.ask(0, "tally", "safe", "r1", KEY)
         self.assertEqual(reply.status, 503)
@@ -206,7 +206,7 @@
     async def test_a_request_under_way_while_the_instance_stood_still_does_not_leave(self) -> None:
         """The key is judged, the instance stands still while a connection opens, and the key is
         taken away meanwhile. Sent on waking, the request would run with a dead key."""
-        real = awake_clock.time.clock_gettime
+        real = boot_clock.time.clock_gettime
         state = {"ahead": 0.0}
 
         def later(clock: int) -> float:
@@ -220,7 +220,7 @@
             return connection
 
         with (
-            mock.patch.object(awake_clock.time, "clock_gettime", later),
+            mock.patch.object(boot_clock.time, "clock_gettime", later),
             mock.patch.object(endpoint_connection, "connect", connect_and_sleep),
         ):
             reply = await self.fleet.ask(0, "tally", "unsafe", "r1", KEY)
--- a/tests/recall_race_test.py
+++ b/tests/recall_race_test.py
@@ -114,14 +114,14 @@
         calls = self.fleet.store.calls
         await self.fleet.wait_until(lambda: self.fleet.store.calls > calls)
         await asyncio.sleep(0.15)
-        named_at = published_state.awake_seconds()
+        named_at = published_state.boot_seconds()
         naming = asyncio.ensure_future(self.name_version(2))
         await asyncio.sleep(0)
         time.sleep(0.9)
         await naming
         await self.name_is_heard(2)
         bound_at = named_at + self.bounds.version
-        with mock.patch.object(published_state, "awake_seconds", lambda: bound_at):
+        with mock.patch.object(published_state, "boot_seconds", lambda: bound_at):
             self.assertFalse(self.gateway.state.may_begin("m1", 1))
 
     async def name_is_heard(self, version: int) -> None:
--- a/tests/suspended_clock.py
+++ b/tests/suspended_clock.py
@@ -4,12 +4,12 @@
 import contextlib
 from unittest import mock
 
-from wasabidrum.core import awake_clock
+from wasabidrum.core import boot_clock
 
 
 @contextlib.contextmanager
 def suspended_for(seconds: float) -> collections.abc.Iterator[None]:
     """Has the clock that counts while suspended be ahead, from here on, by some seconds."""
-    real = awake_clock.time.clock_gettime
-    with mock.patch.object(awake_clock.time, "clock_gettime", lambda clock: real(clock) + seconds):
+    real = boot_clock.time.clock_gettime
+    with mock.patch.object(boot_clock.time, "clock_gettime", lambda clock: real(clock) + seconds):
         yield
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -17,7 +17,7 @@
     stream_events,
 )
 from wasabidrum.config.deployment import Bounds
-from wasabidrum.core import awake_clock
+from wasabidrum.core import boot_clock
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import names
 
@@ -194,10 +194,10 @@
         """An entry hears of a version and is suspended for a minute. The event loop's clock
         has not moved, and by it the version before is good for seconds more; whoever asks on
         waking gets text from weights that everyone else has stopped using."""
-        real = awake_clock.time.clock_gettime
+        real = boot_clock.time.clock_gettime
         await self.name_and_hear(2)
         with mock.patch.object(
-            awake_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
+            boot_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
         ):
             reply = await self.ask("r1")
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 503))
@@ -205,7 +205,7 @@
     async def test_a_request_under_way_while_the_entry_was_suspended_does_not_leave(self) -> None:
         """A request is placed in time, and its entry is suspended while a connection opens.
         Sent on waking, it would begin at once, on weights whose time is over."""
-        real = awake_clock.time.clock_gettime
+        real = boot_clock.time.clock_gettime
         connect = endpoint_connection.connect
         ahead = [0.0]
 
@@ -217,7 +217,7 @@
         await self.name_and_hear(2)
         with (
             mock.patch.object(
-                awake_clock.time, "clock_gettime", lambda clock: real(clock) + ahead[0]
+                boot_clock.time, "clock_gettime", lambda clock: real(clock) + ahead[0]
             ),
             mock.patch.object(endpoint_connection, "connect", connect_and_sleep),
         ):
@@ -235,9 +235,9 @@
         late, with evidence 6.3 s old. Counted from its hearing, the version before would be
         good until 11.5 s after the naming, with a bound of 8 s. It was named after the last
         answer without it, and that is all that the entry can know."""
-        real = awake_clock.time.clock_gettime
+        real = boot_clock.time.clock_gettime
         with mock.patch.object(
-            awake_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
+            boot_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
         ):
             await self.name_and_hear(2)
             await asyncio.sleep(1.7)
--- a/wasabidrum/core/awake_clock.py
+++ b/wasabidrum/core/boot_clock.py
@@ -3,7 +3,7 @@
 import time
 
 
-def awake_seconds() -> float:
+def boot_seconds() -> float:
     """Returns a monotonic time in seconds that includes time spent suspended.
 
     The event loop's clock stops while an instance is suspended. Measured by it, data read before
--- a/wasabidrum/entry/caller_request.py
+++ b/wasabidrum/entry/caller_request.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.fleet import FleetRevision
 
 
@@ -30,5 +30,5 @@
 ) -> CallerRequest:
     """Returns a request whose caller waits for the given number of seconds from now."""
     deadline = asyncio.get_running_loop().time() + seconds
-    awake_deadline = awake_seconds() + seconds
+    awake_deadline = boot_seconds() + seconds
     return CallerRequest(request_id, workspace, revision, deadline, awake_deadline)
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -8,7 +8,7 @@
 import msgspec
 from tornado import httpclient
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance, InstanceRole, InstanceState
 from ..core.status import Status
@@ -60,7 +60,7 @@
             return False
         self.status = status
         self.heard_at = asyncio.get_running_loop().time()
-        self.status_arrived_at = awake_seconds()
+        self.status_arrived_at = boot_seconds()
         self.lost = False
         return True
 
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -2,7 +2,7 @@
 
 import random
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..decisions.idempotency_key import IdempotencyKey, make_key
 from ..decisions.uptime_estimator import UptimeEstimator
@@ -66,4 +66,4 @@
             known = (incarnation, UptimeEstimator(status.uptime, view.status_arrived_at))
             self._clocks[status.name] = known
         known[1].record(status.uptime, view.status_arrived_at)
-        return known[1].uptime(awake_seconds())
+        return known[1].uptime(boot_seconds())
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -5,7 +5,7 @@
 
 from tornado import httpclient
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.fleet import Fleet, ServiceCall
 from ..core.outcome import Outcome
@@ -312,7 +312,7 @@
         # The event loop's clock stops while the instance is suspended. By it, the caller of a
         # charge that was read before a suspension would still seem to wait afterwards, and the
         # charge would run although its caller has gone.
-        return item.awake_deadline - awake_seconds()
+        return item.awake_deadline - boot_seconds()
 
     def _unknown_outcome(self, code: str, message: str, key: IdempotencyKey) -> CodedError:
         error = CodedError(code, message, 504, Outcome.UNKNOWN, retry_after=1.0)
--- a/wasabidrum/gateway/attempt.py
+++ b/wasabidrum/gateway/attempt.py
@@ -7,7 +7,7 @@
 from tornado import iostream
 
 from ..core import waiting
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.request_head import ReplyHead
 from ..core.route import RouteKind
@@ -176,7 +176,7 @@
         # The API key and the weights were checked before the connection was opened. Both are
         # checked again just before the request is sent, because opening the connection may have
         # taken long, or this process may have been suspended.
-        if call.workspace and not self._gateway.state.lease.is_valid(awake_seconds()):
+        if call.workspace and not self._gateway.state.lease.is_valid(boot_seconds()):
             raise AttemptError(AttemptEnd.NOT_SENT, "not_ready")
         if not self._gateway.attempts.may_begin(placement):
             self._recall_reason = RecallReason.WEIGHTS_OVERDUE
--- a/wasabidrum/gateway/attempts_in_progress.py
+++ b/wasabidrum/gateway/attempts_in_progress.py
@@ -7,7 +7,7 @@
 import asyncio
 import typing
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..decisions.request_recall import PlacedRequest, RecallReason, recall_reason
 from .placement import Placement, Placer
 from .published_state import PublishedState
@@ -101,7 +101,7 @@
 
     def check(self) -> None:
         """Recalls requests that must not begin any more, or that another endpoint can take."""
-        now = awake_seconds()
+        now = boot_seconds()
         loop_delayed = (
             now - self._checked_at > CHECK_INTERVAL_SECONDS + LOOP_DELAY_TOLERANCE_SECONDS
         )
--- a/wasabidrum/gateway/daemon.py
+++ b/wasabidrum/gateway/daemon.py
@@ -5,8 +5,8 @@
 from tornado import httpserver, httputil, netutil, web
 
 from ..config.deployment import Address, Deployment
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.incarnation import make_incarnation
 from ..core.published import CallerLimits
 from ..core.requests_in_progress import RequestsInProgress
@@ -119,11 +119,11 @@
         ready = (
             not self.shutting_down
             and self.state.routes is not None
-            and lease.is_ready(awake_seconds())
+            and lease.is_ready(boot_seconds())
         )
         if ready != self._was_ready:
             self._was_ready = ready
-            age = lease.age(awake_seconds())
+            age = lease.age(boot_seconds())
             self.log.write(
                 Event.READINESS_CHANGED,
                 ready=ready,
@@ -194,7 +194,7 @@
         add(
             "evidence_age_seconds",
             "Since the configuration was last known to be the newest.",
-            lambda: min(self.state.lease.age(awake_seconds()), MAX_REPORTED_SECONDS),
+            lambda: min(self.state.lease.age(boot_seconds()), MAX_REPORTED_SECONDS),
         )
         add(
             "requests_in_progress",
--- a/wasabidrum/gateway/entry_peers.py
+++ b/wasabidrum/gateway/entry_peers.py
@@ -11,8 +11,8 @@
 from tornado import netutil
 
 from ..config.deployment import Address, Deployment
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.store_change import StoreChange, StoreReading
 from ..decisions.entry_roster import EXCHANGE_INTERVAL_SECONDS, EntryRoster, HostPort
@@ -81,7 +81,7 @@
     @property
     def count(self) -> int:
         """The number of entries, including this one."""
-        return self._roster.count(awake_seconds())
+        return self._roster.count(boot_seconds())
 
     @property
     def own_address(self) -> HostPort:
@@ -90,11 +90,11 @@
 
     def local_entries(self) -> list[HostPort]:
         """Returns the entries of this data centre, itself included, in the same order at each."""
-        return self._roster.in_data_centre(self._data_centre, awake_seconds())
+        return self._roster.in_data_centre(self._data_centre, boot_seconds())
 
     def data_centres(self) -> dict[str, str]:
         """Returns the data centre of each entry by its host, including this one."""
-        known = self._roster.known(awake_seconds())
+        known = self._roster.known(boot_seconds())
         found = {host: k.data_centre for (host, _), k in known.items() if k.data_centre}
         return found | {self._own_address[0]: self._data_centre}
 
@@ -124,7 +124,7 @@
     def handle_fetch_changes(self, message: FetchChanges) -> ChangesReply:
         """See EntryServiceOwner."""
         snapshot, changes = self._state.changes_after(message.after)
-        now = awake_seconds()
+        now = boot_seconds()
         since = self._state.outages.failing_since
         return ChangesReply(
             revision=self._state.revision,
@@ -154,7 +154,7 @@
     async def _send_suspects(self) -> None:
         await asyncio.sleep(SUSPECT_BATCH_SECONDS)
         pending, self._pending_suspects = self._pending_suspects, {}
-        addresses = self._roster.all_addresses(awake_seconds())
+        addresses = self._roster.all_addresses(boot_seconds())
         for endpoint, fingerprints in pending.items():
             message = TellSuspects(endpoint, tuple(fingerprints))
             await asyncio.gather(
@@ -166,14 +166,14 @@
 
     async def _run_gossip(self) -> None:
         while True:
-            for address in self._roster.choose(1, awake_seconds(), self._rng):
+            for address in self._roster.choose(1, boot_seconds(), self._rng):
                 reply = await self._call(address, entry_messages.MEET_PATH, self._make_meet(), Meet)
                 if reply is not None:
                     self._record_known(reply)
             await asyncio.sleep(EXCHANGE_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.0))
 
     def _make_meet(self) -> Meet:
-        now = awake_seconds()
+        now = boot_seconds()
         addresses = tuple(
             EntryAddress(host, port, now - known.seen_at, known.data_centre)
             for (host, port), known in self._roster.most_recent(now)
@@ -181,7 +181,7 @@
         return Meet(EntryAddress(*self._own_address, 0.0, self._data_centre), addresses)
 
     def _record_known(self, message: Meet) -> None:
-        now = awake_seconds()
+        now = boot_seconds()
         for known in (message.own, *message.known):
             self._roster.record_seen((known.host, known.port), now - known.age, known.data_centre)
 
@@ -190,25 +190,25 @@
         await self._wait_for_first_read()
         # A process that has just started cannot know for how long a version has been wanted.
         # Unless it asks others, it would let requests begin on a version that is overdue.
-        for address in self._roster.choose(PEERS_PER_QUERY, awake_seconds(), self._rng):
+        for address in self._roster.choose(PEERS_PER_QUERY, boot_seconds(), self._rng):
             await self._fetch_changes(address)
         while True:
             await asyncio.sleep(QUERY_INTERVAL_SECONDS)
-            age = self._state.lease.age(awake_seconds())
+            age = self._state.lease.age(boot_seconds())
             if age <= MAX_EVIDENCE_AGE_SECONDS:
                 self._relay_logged = False
                 continue
             count = PEERS_PER_QUERY if self._state.revision else 1
-            addresses = self._roster.choose(count, awake_seconds(), self._rng)
+            addresses = self._roster.choose(count, boot_seconds(), self._rng)
             await asyncio.gather(*(self._fetch_changes(address) for address in addresses))
 
     async def _wait_for_first_read(self) -> None:
-        ends = awake_seconds() + FIRST_READ_WAIT_SECONDS
-        while not self._state.revision and awake_seconds() < ends:
+        ends = boot_seconds() + FIRST_READ_WAIT_SECONDS
+        while not self._state.revision and boot_seconds() < ends:
             await asyncio.sleep(QUERY_INTERVAL_SECONDS / 8)
 
     async def _fetch_changes(self, address: HostPort) -> None:
-        asked_at = awake_seconds()
+        asked_at = boot_seconds()
         request = FetchChanges(self._state.revision)
         timeout = PEER_TIMEOUT_SECONDS if request.after else SNAPSHOT_TIMEOUT_SECONDS
         reply = await self._call(
@@ -261,8 +261,8 @@
         try:
             reply = await peer_client.call(host, port, path, message, kind, timeout)
         except CodedError as error:
-            self._roster.record_failure(address, awake_seconds())
+            self._roster.record_failure(address, boot_seconds())
             self._log.write(Event.PEER_SILENT, peer=f"{host}:{port}", reason=str(error)[:120])
             return None
-        self._roster.record_seen(address, awake_seconds())
+        self._roster.record_seen(address, boot_seconds())
         return reply
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -6,7 +6,7 @@
 import msgspec
 from tornado import httputil
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..core.request_head import ReplyHead, RequestHead
@@ -109,7 +109,7 @@
         routes = state.routes
         if routes is None:
             raise not_ready_error("this entry has no configuration yet")
-        now = awake_seconds()
+        now = boot_seconds()
         fresh = state.lease.is_valid(now)
         self.add_log_facts(evidence_age=round(state.lease.age(now), 3))
         route = routes.find(head.host, head.path)
--- a/wasabidrum/gateway/published_state.py
+++ b/wasabidrum/gateway/published_state.py
@@ -4,7 +4,7 @@
 """
 
 from ..config.deployment import Bounds
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.placing_limit import PlacingLimit
 from ..core.published import EngineFigures, PublishedConfiguration
@@ -86,7 +86,7 @@
     def newest_seconds(self, model: str) -> float:
         """Returns for how long the newest version of a model has been wanted; zero if none is."""
         floor = self._version_floors.get(model)
-        return floor.newest_seconds(awake_seconds()) if floor and floor.newest else 0.0
+        return floor.newest_seconds(boot_seconds()) if floor and floor.newest else 0.0
 
     # The ages of versions are measured by a clock that continues while the instance is suspended.
     # By the event loop's clock, an entry that resumes after a minute would place requests on
@@ -101,11 +101,11 @@
         floor = self._version_floors.get(model)
         if floor is None:
             return 0
-        return floor.oldest_to_place(awake_seconds() + late, self.outages.latest)
+        return floor.oldest_to_place(boot_seconds() + late, self.outages.latest)
 
     def placing_limits(self) -> tuple[PlacingLimit, ...]:
         """Returns until when requests are placed on replaced weights, by replacing version."""
-        now, outage = awake_seconds(), self.outages.latest
+        now, outage = boot_seconds(), self.outages.latest
         return tuple(
             limit
             for model, floor in self._version_floors.items()
@@ -117,7 +117,7 @@
         floor = self._version_floors.get(model)
         if floor is None:
             return True
-        return weights >= floor.oldest_to_begin(awake_seconds(), self.outages.latest)
+        return weights >= floor.oldest_to_begin(boot_seconds(), self.outages.latest)
 
     def record_reported_version(self, model: str, version: int, seconds: float) -> None:
         """Records a version that another process reported.
@@ -128,11 +128,11 @@
         self._reported_versions[model] = max(version, self._reported_versions.get(model, 0))
         floor = self._version_floors.get(model)
         if floor is not None and version:
-            floor.record_reported(version, seconds, awake_seconds())
+            floor.record_reported(version, seconds, boot_seconds())
 
     def named_versions(self) -> list[tuple[str, int, float]]:
         """Returns each model, its newest version, and for how many seconds that was wanted."""
-        now = awake_seconds()
+        now = boot_seconds()
         return [
             (model, floor.newest, floor.newest_seconds(now))
             for model, floor in self._version_floors.items()
@@ -152,7 +152,7 @@
         """Applies changes in the order of their revisions.
 
         Args:
-          not_before: A time by the awake clock before which none of the changes was made; the
+          not_before: A time by the boot clock before which none of the changes was made; the
             lease may know a later one.
         """
         for change in sorted(reading.changes, key=lambda change: change.revision):
@@ -248,7 +248,7 @@
             )
             return
         floor = self._version_floors.setdefault(model, VersionFloor(self._bounds.version))
-        now = awake_seconds()
+        now = boot_seconds()
         if floor.add(version, not_before, now):
             age = min(now - not_before, MAX_REPORTED_SECONDS)
             self._log.write(
--- a/wasabidrum/gateway/store_follower.py
+++ b/wasabidrum/gateway/store_follower.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..decisions.configuration_lease import (
     REPLY_TOLERANCE_SECONDS,
@@ -43,8 +43,8 @@
         self._log = log
         self._history_lost = False
         self._failures = 0
-        self._ticked_at = awake_seconds()
-        self._asked_at = awake_seconds()
+        self._ticked_at = boot_seconds()
+        self._asked_at = boot_seconds()
         # The latest time, as far as known, before which the store had no changes that the watch
         # in progress could bring.
         self._unchanged_until = float("-inf")
@@ -64,17 +64,17 @@
         loop = asyncio.get_running_loop()
         while True:
             self._detect_stall()
-            self._ticked_at = awake_seconds()
+            self._ticked_at = boot_seconds()
             self._state.expire_endpoints(loop.time())
             await asyncio.sleep(TICK_SECONDS)
 
     def _detect_stall(self) -> None:
         # A tick is late by as much as the process was suspended or the event loop was blocked.
-        if awake_seconds() - self._ticked_at > TICK_SECONDS + REPLY_TOLERANCE_SECONDS:
+        if boot_seconds() - self._ticked_at > TICK_SECONDS + REPLY_TOLERANCE_SECONDS:
             self._stalled = True
 
     async def _poll(self) -> None:
-        asked_at = self._asked_at = awake_seconds()
+        asked_at = self._asked_at = boot_seconds()
         self._stalled = False
         state = self._state
         if not state.revision or self._history_lost:
@@ -88,7 +88,7 @@
             reading = await self._store.watch(KeyPrefix.ALL, state.revision, WATCH_SECONDS)
             self._record_answer()
             self._detect_stall()
-            answered_at = awake_seconds()
+            answered_at = boot_seconds()
             not_before = earliest_change_at(asked_at, answered_at, WATCH_SECONDS, self._stalled)
             not_before = max(not_before, self._unchanged_until)
             state.apply_changes(reading, asyncio.get_running_loop().time(), not_before)
@@ -119,7 +119,7 @@
             refused = error.code == "store_refused"
             self._state.outages.record_failure(
                 self._asked_at,
-                awake_seconds(),
+                boot_seconds(),
                 refused,
                 self._stalled,
                 self._state.lease.confirmed_at,
@@ -128,7 +128,7 @@
             self._log.write(
                 Event.STORE_LOST,
                 reason=str(error)[:200],
-                evidence_age=round(self._state.lease.age(awake_seconds()), 3),
+                evidence_age=round(self._state.lease.age(boot_seconds()), 3),
             )
         self._failures += 1
         self._state.endpoints.record_store_failure(asyncio.get_running_loop().time())
--- a/wasabidrum/peers/configuration_follower.py
+++ b/wasabidrum/peers/configuration_follower.py
@@ -5,7 +5,7 @@
 import zlib
 
 from ..config.bundle import render_site
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.config_value import ConfigValue
 from ..core.errors import CodedError
 from ..core.fleet import FleetRevision
@@ -78,7 +78,7 @@
     async def run(self, watch_seconds: float = WATCH_SECONDS) -> None:
         """Watches the service for ever."""
         while True:
-            asked_at = awake_seconds()
+            asked_at = boot_seconds()
             try:
                 value = await self._service.watch(self.revision, watch_seconds)
             except CodedError as error:
--- a/wasabidrum/peers/peer_asker.py
+++ b/wasabidrum/peers/peer_asker.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance
 from ..decisions.member_table import MemberTable
@@ -42,13 +42,13 @@
         Returns:
           How many answered.
         """
-        asked_at = awake_seconds()
+        asked_at = boot_seconds()
         asked = self._choose(parents, asyncio.get_running_loop().time())
         answers = await asyncio.gather(*(self._ask(instance) for instance in asked))
         answered = sum(answers)
         await self._fetcher.wait()
         if answered and self._follower.revision >= self._follower.book.highest:
-            self._gap.record_reply(asked_at, awake_seconds())
+            self._gap.record_reply(asked_at, boot_seconds())
         self._log.write(
             Event.PEERS_ASKED,
             asked=len(asked),
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -7,8 +7,8 @@
 from tornado import netutil
 
 from ..config.settings import Settings
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.instance import Instance
 from ..core.status import Status
 from ..decisions.member_record import instance_from_status
@@ -63,7 +63,7 @@
         self._account = account
         self._log = log
         self._tasks = BackgroundTasks(on_failure)
-        self._gap = PauseDetector(awake_seconds())
+        self._gap = PauseDetector(boot_seconds())
         self._noticed_seconds = 0.0
         self._inbound: set[PeerLink] = set()
         self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.lose)
@@ -106,7 +106,7 @@
     @property
     def recently_verified(self) -> bool:
         """Whether someone else confirmed this process's revision since it last slept."""
-        return self._gap.recently_verified(awake_seconds())
+        return self._gap.recently_verified(boot_seconds())
 
     def find_listed(self) -> Instance | None:
         """Returns where the list says that this process listens, or None."""
@@ -181,7 +181,7 @@
             self.lists.take_claim(push.list_as_of, push.list_digest, status.host, status.peer_port)
         self._members.take_news(push.news, now)
         if status.revision <= self._follower.revision:
-            self._gap.record_push(awake_seconds())
+            self._gap.record_push(boot_seconds())
 
     def report(self) -> ControlReport:
         """Returns how this daemon stands among the others."""
@@ -267,7 +267,7 @@
         self._outbound.keep(wanted, now)
 
     def _notice_pause(self, now: float) -> None:
-        self._gap.observe(awake_seconds())
+        self._gap.observe(boot_seconds())
         paused = self._gap.paused_seconds - self._noticed_seconds
         counted = now - self._turn_at
         self._turn_at = now
@@ -296,4 +296,4 @@
         self.wake_all()
 
     def _take_answer(self, asked_at: float) -> None:
-        self._gap.record_reply(asked_at, awake_seconds())
+        self._gap.record_reply(asked_at, boot_seconds())
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -8,7 +8,7 @@
 from tests.suspended_clock import suspended_for
 
 from ..config.settings import PlatformSettings, Settings
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.instance import InstanceRole
 from ..core.status import Status
 from ..observe.event_log import EventLog
@@ -49,7 +49,7 @@
         clock that does not count that time. Its daemon tells operators that it has just
         verified what it has in force, and asks nobody: until its dead streams are noticed, up
         to three seconds, a key that was taken away a minute ago opens its door."""
-        self.follower.on_answer(awake_seconds())
+        self.follower.on_answer(boot_seconds())
         self.assertTrue(self.node.recently_verified)
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
@@ -74,7 +74,7 @@
         the others would be asked by nobody, and those that were heard before it called dead."""
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
-            self.follower.on_answer(awake_seconds() - SUSPENDED_SECONDS)
+            self.follower.on_answer(boot_seconds() - SUSPENDED_SECONDS)
             self.node.lose(PEER, refused=False)
         self.assertEqual(len(self.pauses), 1)
         self.assertFalse(self.node.recently_verified)
--- a/wasabidrum/sidecar/deployed.py
+++ b/wasabidrum/sidecar/deployed.py
@@ -3,8 +3,8 @@
 from tornado import httpserver, netutil, web
 
 from ..config.deployment import Address, Deployment
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.engine_report import EngineReport
 from ..core.fleet import LinkSpec
 from ..core.incarnation import make_incarnation
@@ -148,7 +148,7 @@
 
     def _record_limits(self, entry: Status) -> None:
         self._controller.retirement.record(
-            entry.name, self._listed.model, entry.placing_limits, awake_seconds()
+            entry.name, self._listed.model, entry.placing_limits, boot_seconds()
         )
 
     def _requests_at_engine(self) -> int:
--- a/wasabidrum/sidecar/keyed_calls.py
+++ b/wasabidrum/sidecar/keyed_calls.py
@@ -3,8 +3,8 @@
 import asyncio
 import collections.abc
 
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..decisions.idempotency_key import IdempotencyKey
@@ -29,7 +29,7 @@
         self._ledger = ledger
         self._tasks = tasks
         self._log = log
-        self._started = awake_seconds()
+        self._started = boot_seconds()
         self._running: dict[bytes, asyncio.Task[ServiceReply]] = {}
 
     @property
@@ -39,7 +39,7 @@
         # that waited in the socket would start long after its caller gave up, and the keys that
         # entries issue next would seem to come from the future: each such charge ended as
         # "unknown" for up to a minute, though none had run.
-        return awake_seconds() - self._started
+        return boot_seconds() - self._started
 
     @property
     def remembered(self) -> int:
--- a/wasabidrum/weights/clock_guard.py
+++ b/wasabidrum/weights/clock_guard.py
@@ -10,7 +10,7 @@
 import asyncio
 import collections.abc
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -53,7 +53,7 @@
         """Returns whether this process woke late and has not read the configuration since."""
         # The event loop's clock shows no gap after a suspension, and the sidecar would order what
         # operators took back meanwhile.
-        now = awake_seconds()
+        now = boot_seconds()
         if self._last is not None and now - self._last > LONGEST_GAP_SECONDS:
             self._pauses += 1
             self._log.write(Event.PROCESS_WOKE_LATE, seconds=round(now - self._last, 2))
--- a/wasabidrum/weights/clock_guard_test.py
+++ b/wasabidrum/weights/clock_guard_test.py
@@ -7,7 +7,7 @@
 
 from tests.suspended_clock import suspended_for
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.config_value import ConfigValue
 from ..core.digest import digest_of
 from ..core.errors import CodedError
@@ -51,7 +51,7 @@
             return int(peers_tell > 0)
 
         guard = clock_guard.ClockGuard(service, ask_peers, self.follower, log)
-        guard._last = awake_seconds() - 10.0
+        guard._last = boot_seconds() - 10.0
         return guard
 
     async def confirm(self, revision: int, peers_tell: int) -> None:
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.engine_report import EngineReport, PieceList
 from ..core.errors import CodedError
 from ..decisions.switch_turns import (
@@ -217,7 +217,7 @@
             report = self.report
             if report is None or report.busy or not 0 < report.weights < staged.version:
                 continue
-            if not self.retirement.is_due(report.weights, awake_seconds()):
+            if not self.retirement.is_due(report.weights, boot_seconds()):
                 continue
             layer = staged.complete_layer(self._listed.layers)
             # What is complete is about to be ordered as a whole.
@@ -316,7 +316,7 @@
         """
         was_slow = False
         for _ in range(MOST_VERIFICATIONS):
-            began = awake_seconds()
+            began = boot_seconds()
             mended = await staged.verify(numbers)
             if mended < 0:
                 raise CodedError("piece_lost", "a piece is not held here any more", 503)
@@ -326,7 +326,7 @@
             # The engine loads what lies there when it takes the order. After a suspension the
             # first pieces were read long ago, and one that turned bad since would be answered
             # from. Slow twice in a row is how fast this engine is read, and no suspension.
-            is_slow = awake_seconds() - began > FRESH_SECONDS
+            is_slow = boot_seconds() - began > FRESH_SECONDS
             if not is_slow or was_slow:
                 return
             was_slow = True
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -5,7 +5,7 @@
 import contextlib
 
 from ..config.deployment import Deployment
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance, InstanceRole
 from ..core.listed_endpoint import ListedEndpoint
@@ -74,7 +74,7 @@
         self.layers = 0
         self._relays: dict[str, MemberView] = {}
         self._relays_known = asyncio.Event()
-        self._started_at = awake_seconds()
+        self._started_at = boot_seconds()
         self.on_members = ignore_members
         self.on_relays = ignore_members
 
@@ -114,7 +114,7 @@
         All processes start together after a loss of power. A sidecar that plans without relays
         draws from the origin what these are about to draw.
         """
-        left = self._started_at + RELAYS_SECONDS - awake_seconds()
+        left = self._started_at + RELAYS_SECONDS - boot_seconds()
         if left > 0.0:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._relays_known.wait(), left)
@@ -127,7 +127,7 @@
     def named_for(self, version: int) -> float:
         """Returns for how many seconds a version has been known to be wanted; zero if it is not."""
         at = self._named_at.get(version)
-        return awake_seconds() - at if at is not None else 0.0
+        return boot_seconds() - at if at is not None else 0.0
 
     @property
     def ready(self) -> bool:
@@ -239,7 +239,7 @@
         if reading is None:
             return None
         if version in self._named_at and version == self.wanted:
-            named_at = awake_seconds() - reading.named_for
+            named_at = boot_seconds() - reading.named_for
             self._named_at[version] = min(self._named_at[version], named_at)
         if reading.members:
             self._take_members(reading.members)
@@ -327,7 +327,7 @@
         self._log.write(Event.VERSION_NAMED, model=model, version=version)
         async with self._changed:
             self.wanted = version
-            self._named_at[version] = awake_seconds()
+            self._named_at[version] = boot_seconds()
             self._changed.notify_all()
 
 
