--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -6,7 +6,7 @@
 import msgspec
 from tornado import httputil
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.outcome import Outcome
 from ..core.request_head import ReplyHead, RequestHead
@@ -93,7 +93,7 @@
         if self._connection.stream.closed():
             self._log(Event.REQUEST_CANCELLED, code="cancelled", outcome=Outcome.NOT_RUN.value)
             return
-        with self._gateway.requests.one():
+        with self._gateway.requests.track():
             try:
                 await self._serve(self._head)
             except CodedError as error:
@@ -109,7 +109,7 @@
         routes = state.routes
         if routes is None:
             raise not_ready_error("this entry has no configuration yet")
-        now = awake_seconds()
+        now = boot_seconds()
         fresh = state.lease.is_valid(now)
         self.add_log_facts(evidence_age=round(state.lease.age(now), 3))
         route = routes.find(head.host, head.path)
--- a/wasabidrum/peers/claim_fetcher.py
+++ b/wasabidrum/peers/claim_fetcher.py
@@ -7,7 +7,7 @@
 from ..core.digest import digest_of
 from ..core.errors import CodedError
 from ..decisions.revision_tracker import ClaimVerdict
-from ..platform.http_configuration_service import LARGEST_VALUE_BYTES
+from ..platform.http_configuration_service import MAX_VALUE_BYTES
 from . import peer_client
 from .configuration_follower import ConfigurationFollower
 
@@ -70,7 +70,7 @@
         decompressor = zlib.decompressobj()
         # Bounded, so that a faulty or hostile peer cannot exhaust the memory with a small reply
         # that decompresses to a huge value.
-        content = decompressor.decompress(compressed, LARGEST_VALUE_BYTES + 1)
+        content = decompressor.decompress(compressed, MAX_VALUE_BYTES + 1)
     except zlib.error as error:
         raise CodedError("configuration_corrupt", str(error), 503) from error
     if not decompressor.eof or digest_of(content) != digest:
--- a/wasabidrum/peers/peer_node.py
+++ b/wasabidrum/peers/peer_node.py
@@ -7,8 +7,8 @@
 from tornado import netutil
 
 from ..config.settings import Settings
-from ..core.awake_clock import awake_seconds
 from ..core.background_tasks import BackgroundTasks
+from ..core.boot_clock import boot_seconds
 from ..core.instance import Instance
 from ..core.status import Status
 from ..decisions.member_record import instance_from_status
@@ -64,7 +64,7 @@
         self._own_status = own_status
         self._log = log
         self._tasks = BackgroundTasks(on_failure)
-        self._pause_detector = PauseDetector(awake_seconds())
+        self._pause_detector = PauseDetector(boot_seconds())
         self._handled_pause_seconds = 0.0
         self._inbound: set[PeerLink] = set()
         self._outbound = OutboundLinks(self, True, GOSSIP_SILENCE_SECONDS, self.suspect)
@@ -109,7 +109,7 @@
     @property
     def recently_verified(self) -> bool:
         """Whether a peer or the service confirmed this process's revision since its last pause."""
-        return self._pause_detector.recently_verified(awake_seconds())
+        return self._pause_detector.recently_verified(boot_seconds())
 
     def find_listed(self) -> Instance | None:
         """Returns this process's own entry in the instance list, or None if it is not listed."""
@@ -187,7 +187,7 @@
             )
         self._members.apply_updates(push.news, now)
         if status.revision <= self._follower.revision:
-            self._pause_detector.record_push(awake_seconds())
+            self._pause_detector.record_push(boot_seconds())
 
     def report(self) -> ControlReport:
         """Returns a report on this daemon's links, members and control traffic."""
@@ -275,7 +275,7 @@
         self._outbound.set_wanted(wanted, now)
 
     def _handle_pause(self, now: float) -> None:
-        self._pause_detector.observe(awake_seconds())
+        self._pause_detector.observe(boot_seconds())
         paused_seconds = self._pause_detector.paused_seconds - self._handled_pause_seconds
         counted_seconds = now - self._observed_at
         self._observed_at = now
@@ -304,4 +304,4 @@
         self.wake_all()
 
     def _record_confirmation(self, asked_at: float) -> None:
-        self._pause_detector.record_reply(asked_at, awake_seconds())
+        self._pause_detector.record_reply(asked_at, boot_seconds())
--- a/wasabidrum/peers/peer_node_test.py
+++ b/wasabidrum/peers/peer_node_test.py
@@ -8,7 +8,7 @@
 from tests.suspended_clock import suspended_for
 
 from ..config.settings import PlatformSettings, Settings
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.instance import InstanceRole
 from ..core.status import Status
 from ..observe.event_log import EventLog
@@ -49,7 +49,7 @@
         loop's clock does not count that time. By that clock the daemon would consider its
         revision just verified and query no peer. Until its dead streams are noticed, up to three
         seconds later, it would accept a key that was revoked a minute ago."""
-        self.follower.on_confirmed(awake_seconds())
+        self.follower.on_confirmed(boot_seconds())
         self.assertTrue(self.node.recently_verified)
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
@@ -74,7 +74,7 @@
         consume the pause: no peer would be queried, and live members would be declared dead."""
         with suspended_for(SUSPENDED_SECONDS):
             self.assertFalse(self.node.recently_verified)
-            self.follower.on_confirmed(awake_seconds() - SUSPENDED_SECONDS)
+            self.follower.on_confirmed(boot_seconds() - SUSPENDED_SECONDS)
             self.node.suspect(PEER, refused=False)
         self.assertEqual(len(self.pauses), 1)
         self.assertFalse(self.node.recently_verified)
--- a/wasabidrum/sidecar/call_handlers.py
+++ b/wasabidrum/sidecar/call_handlers.py
@@ -62,7 +62,7 @@
 
     async def post(self) -> None:
         """Runs one attempt in a separate task, so that it can be cancelled at any time."""
-        with self.sidecar.requests.one():
+        with self.sidecar.requests.track():
             try:
                 self.check_taking_work()
                 generate_request = msgspec.json.decode(self.request.body, type=GenerateRequest)
@@ -136,7 +136,7 @@
 
     async def post(self) -> None:
         """Responds to one copy of a call; a call with a key runs at most once for all copies."""
-        with self.sidecar.requests.one():
+        with self.sidecar.requests.track():
             attempt_id = self.request.headers.get(headers.ATTEMPT_ID, "")
             try:
                 attempt = parse_attempt(self.request.headers, self.request.body)
@@ -161,7 +161,7 @@
         start_before = min(attempt.start_before, calls.uptime + attempt.patience)
 
         async def call_service() -> ServiceReply:
-            with self.sidecar.requests.one():
+            with self.sidecar.requests.track():
                 return await self.send(attempt, attempt.patience + LATE_ANSWER_GRACE_SECONDS)
 
         return await calls.run(
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.engine_report import EngineReport, PieceList
 from ..core.errors import CodedError
 from ..decisions.switch_turns import (
@@ -223,7 +223,7 @@
             report = self.report
             if report is None or report.busy or not 0 < report.weights < staged.version:
                 continue
-            if not self.retirement.is_due(report.weights, awake_seconds()):
+            if not self.retirement.is_due(report.weights, boot_seconds()):
                 continue
             layer = staged.complete_layer(self._listed.layers)
             # A complete version is about to be loaded as a whole.
@@ -289,7 +289,7 @@
         self._origin.set_address(*self._listed.origin)
         shared = await self._listed.read_version(wanted)
         if shared is not None:
-            self._origin.take_list(shared.pieces)
+            self._origin.add_list(shared.pieces)
         else:
             await self._listed.read_members()
             pieces = await self._origin.read_list(self._listed.model, wanted)
@@ -322,7 +322,7 @@
         """
         was_slow = False
         for _ in range(MAX_VERIFICATIONS):
-            began = awake_seconds()
+            began = boot_seconds()
             rewritten = await staged.verify(numbers)
             if rewritten < 0:
                 raise CodedError("piece_lost", "a staged piece is bad and not in the store", 503)
@@ -332,7 +332,7 @@
             # The engine loads whatever is staged when it accepts the command. After a suspension
             # the first pieces were verified long ago, and one that became corrupt since would be
             # served from. If verification is slow twice in a row, this engine is slow to read.
-            is_slow = awake_seconds() - began > MAX_VERIFY_SECONDS
+            is_slow = boot_seconds() - began > MAX_VERIFY_SECONDS
             if not is_slow or was_slow:
                 return
             was_slow = True
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -5,7 +5,7 @@
 import contextlib
 
 from ..config.deployment import Deployment
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..core.instance import Instance, InstanceRole
 from ..core.listed_endpoint import ListedEndpoint
@@ -17,7 +17,7 @@
 from ..peers.member_view import MemberView, MemberViews
 from ..platform import published_records
 from ..platform.published_records import ItemKind, kind_of
-from ..platform.store_client import StoreClient, Watched
+from ..platform.store_client import KeyPrefix, StoreClient
 from .chunk_member import make_chunk_member, region_of_centre
 from .shared_readings import (
     EngineSetting,
@@ -74,7 +74,7 @@
         self.layers = 0
         self._relays: dict[str, MemberView] = {}
         self._relays_known = asyncio.Event()
-        self._started_at = awake_seconds()
+        self._started_at = boot_seconds()
         self.on_members = ignore_update
         self.on_relays = ignore_update
 
@@ -114,7 +114,7 @@
         All processes start together after a power outage. A sidecar that plans without relays
         fetches from the origin what the relays are about to fetch.
         """
-        left = self._started_at + RELAYS_SECONDS - awake_seconds()
+        left = self._started_at + RELAYS_SECONDS - boot_seconds()
         if left > 0.0:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._relays_known.wait(), left)
@@ -127,7 +127,7 @@
     def named_for(self, version: int) -> float:
         """Returns the seconds since a version was learned to be published; zero if unknown."""
         at = self._named_at.get(version)
-        return awake_seconds() - at if at is not None else 0.0
+        return boot_seconds() - at if at is not None else 0.0
 
     @property
     def ready(self) -> bool:
@@ -207,7 +207,7 @@
                     self._log.write(Event.STORE_BACK, failures=failures)
                     failures = 0
                 while True:
-                    reading = await self._store.watch(Watched.VERSIONS, revision, WATCH_SECONDS)
+                    reading = await self._store.watch(KeyPrefix.VERSIONS, revision, WATCH_SECONDS)
                     revision = reading.revision
                     for change in reading.changes:
                         await self._record_version(change)
@@ -239,7 +239,7 @@
         if reading is None:
             return None
         if version in self._named_at and version == self.wanted:
-            named_at = awake_seconds() - reading.named_for
+            named_at = boot_seconds() - reading.named_for
             self._named_at[version] = min(self._named_at[version], named_at)
         if reading.members:
             self._set_members(reading.members)
@@ -262,14 +262,14 @@
             await self._readings.keep_setting(setting)
         self.model = setting.model
         self.layers = setting.layers
-        reading = await self._store.read(Watched.VERSIONS)
+        reading = await self._store.read(KeyPrefix.VERSIONS)
         for change in reading.changes:
             await self._record_version(change)
         self._known = True
         return reading.revision
 
     async def _read_setting(self) -> EngineSetting:
-        reading = await self._store.read(Watched.CONFIGURATION)
+        reading = await self._store.read(KeyPrefix.CONFIGURATION)
         for change in reading.changes:
             if kind_of(change.key) is ItemKind.CONFIGURATION and change.value is not None:
                 configuration = published_records.decode_configuration(change.value)
@@ -279,7 +279,7 @@
         raise CodedError("configuration_missing", "this engine's service is not published")
 
     async def _read_members(self) -> None:
-        reading = await self._store.read(Watched.ENDPOINTS)
+        reading = await self._store.read(KeyPrefix.ENDPOINTS)
         members = []
         for change in reading.changes:
             endpoint_id = published_records.endpoint_id_of(change.key)
@@ -327,7 +327,7 @@
         self._log.write(Event.VERSION_NAMED, model=model, version=version)
         async with self._changed:
             self.wanted = version
-            self._named_at[version] = awake_seconds()
+            self._named_at[version] = boot_seconds()
             self._changed.notify_all()
 
 
--- a/wasabidrum/weights/suspension_guard.py
+++ b/wasabidrum/weights/suspension_guard.py
@@ -9,7 +9,7 @@
 import asyncio
 import collections.abc
 
-from ..core.awake_clock import awake_seconds
+from ..core.boot_clock import boot_seconds
 from ..core.errors import CodedError
 from ..observe.event import Event
 from ..observe.event_log import EventLog
@@ -53,7 +53,7 @@
         since."""
         # The event loop's clock shows no gap after a suspension. Measured by it, the sidecar would
         # miss the suspension and send commands that operators have revoked meanwhile.
-        now = awake_seconds()
+        now = boot_seconds()
         if self._last_run is not None and now - self._last_run > MAX_GAP_SECONDS:
             self._suspensions += 1
             self._log.write(Event.PROCESS_WOKE_LATE, seconds=round(now - self._last_run, 2))
