--- a/tests/gateway_traps_test.py
+++ b/tests/gateway_traps_test.py
@@ -64,7 +64,7 @@
         listed = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: listed.get("a").started_at == 50)
         old = listed.get("a").__class__("a", "tally", "127.0.0.1", self.a.port, "rift-a")
-        self.assertFalse(listed.take(old, 1))
+        self.assertFalse(listed.apply(old, 1))
         self.assertEqual(listed.get("a").started_at, 50)
 
 
