--- a/wasabidrum/scripts/commands/explain.py
+++ b/wasabidrum/scripts/commands/explain.py
@@ -21,7 +21,7 @@
 import sys
 import time
 
-from ...observe.event_memory import belongs_to_request
+from ...observe.event_buffer import belongs_to_request
 from ...observe.events_handler import FoundEvents
 from ..command import EXIT_FOUND, EXIT_OK, EXIT_USAGE
 from ..fleet_answer import FleetAnswer
