--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -28,8 +28,11 @@
 # it. It therefore waits only briefly before it checks again; otherwise each would wait for the
 # other until the longer wait ends.
 UNKNOWN_WAIT_SECONDS = 0.5
+# Waits for a chunk after which a peer that is itself waiting for it is skipped.
 WAITS_BEFORE_SKIP = 4
+# Rounds of probes before a fetch from the origin, if some engine already serves the version.
 PROBE_ROUNDS_WHEN_ACTIVE = 4
+# How long after the start of a version a process assumes that peers know it.
 ASSUMED_KNOWN_SECONDS = 1.0
 # Pause between failed fetches from the origin. A try at an origin that is down costs one refused
 # connection; each second between its return and the next try delays the version on all engines.
@@ -163,7 +166,7 @@
         return MAX_PEER_REQUESTS
 
     async def fetch(self, plan: ChunkPlan, digest: str) -> bytes:
-        """Returns a verified chunk from the store, a peer or the origin; retries until it can."""
+        """Returns a verified chunk from the store, a peer or the origin, with retries."""
         waits = rounds = 0
         while (content := self.store.get(digest)) is None:
             index = plan.index_of(digest)
@@ -289,8 +292,8 @@
         self, plan: ChunkPlan, index: int, digest: str, step: FetchStep, rounds: int
     ) -> bytes | None:
         """Fetches a chunk that no peer ahead can provide; None means to find the next step anew."""
-        plain = self._settings.weights_from != "peers"
-        if not plain:
+        is_baseline = self._settings.weights_from != "peers"
+        if not is_baseline:
             await self._wait_before_origin(plan, step, rounds)
             if self._find_step(plan, index, digest).kind is not FetchStepKind.FROM_ORIGIN:
                 return None
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -181,7 +181,7 @@
         self._update_holders()
         if staged.share < 1.0:
             await self._listed.wait_for_relays()
-        beside = asyncio.gather(self._drain_early(staged), self._retire_old_weights(staged))
+        side_tasks = asyncio.gather(self._drain_early(staged), self._retire_old_weights(staged))
         try:
             listed = self._listed
             await staged.fetch_missing(listed.region_of, listed.relays, listed.origin_region)
@@ -190,15 +190,15 @@
             if self.report is not None and not self.report.busy:
                 await self._load(staged, version)
         finally:
-            beside.cancel()
-            await asyncio.gather(beside, return_exceptions=True)
+            side_tasks.cancel()
+            await asyncio.gather(side_tasks, return_exceptions=True)
             self._set_switching(False)
 
     async def _drain_early(self, staged: StagedVersion) -> None:
         """Makes entries stop placing requests here shortly before a version is complete."""
         answering = self._listed.answering
-        turn = turn_of(staged.version, self._listed.own, answering)
-        if not self._listed.named_for(staged.version) or self._listed.own not in answering:
+        turn = turn_of(staged.version, self._listed.own_name, answering)
+        if not self._listed.named_for(staged.version) or self._listed.own_name not in answering:
             return
         loop = asyncio.get_running_loop()
         while not should_drain_early(
@@ -250,7 +250,7 @@
         """Waits for this engine's turn to load, while it still serves and others load."""
         if self.report is None or not self.report.weights:
             return
-        turn = turn_of(version, self._listed.own, self._listed.answering)
+        turn = turn_of(version, self._listed.own_name, self._listed.answering)
         named_for = self._listed.named_for(version)
         seconds = seconds_until_turn(turn, named_for, self._bound)
         if seconds <= 0.0:
--- a/wasabidrum/weights/engine_controller_test.py
+++ b/wasabidrum/weights/engine_controller_test.py
@@ -106,7 +106,7 @@
             model=MODEL,
             wanted=3,
             on_members=None,
-            own="b",
+            own_name="b",
             answering={"a": "r", "b": "r"},
             named_for=lambda version: 0.0,
         )
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -156,7 +156,7 @@
         return any(m.leaving for m in self._listed if m.host == self._deployment.host)
 
     @property
-    def own(self) -> str:
+    def own_name(self) -> str:
         """The name of this sidecar."""
         return self._deployment.host
 
@@ -234,8 +234,8 @@
 
     async def read_version(self, version: int) -> VersionReading | None:
         """Returns a version reading from a peer of the region, or None; updates the members."""
-        asked = self._readers_before(f"{self.model}/{version}")
-        reading = await self._readings.ask_version(asked, version)
+        peers = self._readers_before(f"{self.model}/{version}")
+        reading = await self._readings.request_version(peers, version)
         if reading is None:
             return None
         if version in self._named_at and version == self.wanted:
@@ -255,8 +255,8 @@
         await self._read_members()
         setting = self._readings.setting
         if setting is None:
-            asked = self._readers_before(self._deployment.service)
-            setting = await self._readings.ask_setting(asked)
+            peers = self._readers_before(self._deployment.service)
+            setting = await self._readings.request_setting(peers)
             if setting is None:
                 setting = await self._read_setting()
             await self._readings.keep_setting(setting)
--- a/wasabidrum/weights/shared_readings.py
+++ b/wasabidrum/weights/shared_readings.py
@@ -27,7 +27,7 @@
 
 PATH = "/internal/readings/"
 # Number of peers that are asked before a process reads for itself.
-MAX_PEERS_ASKED = 2
+MAX_PEERS_QUERIED = 2
 CONNECT_SECONDS = 0.3
 SETTING_SECONDS = 2.0
 VERSION_SECONDS = 0.6
@@ -145,19 +145,19 @@
         # Versions older than the latest reading are not read any more.
         return self.version is not None and self.version.pieces.version >= int(name)
 
-    async def ask_setting(self, peers: list[MemberView]) -> EngineSetting | None:
+    async def request_setting(self, peers: list[MemberView]) -> EngineSetting | None:
         """Returns the engine setting from the first peer that has it, or None."""
-        return await self._ask(peers, "setting", EngineSetting, SETTING_SECONDS)
+        return await self._request(peers, "setting", EngineSetting, SETTING_SECONDS)
 
-    async def ask_version(self, peers: list[MemberView], version: int) -> VersionReading | None:
+    async def request_version(self, peers: list[MemberView], version: int) -> VersionReading | None:
         """Returns a version reading from the first peer that has it, or None.
 
         Args:
           version: Zero for the latest that a peer knows, if no version has been published.
         """
-        return await self._ask(peers, str(version), VersionReading, VERSION_SECONDS)
+        return await self._request(peers, str(version), VersionReading, VERSION_SECONDS)
 
-    async def _ask(self, peers: list[MemberView], name: str, kind: type, seconds: float):
+    async def _request(self, peers: list[MemberView], name: str, kind: type, seconds: float):
         for peer in peers:
             request = httpclient.HTTPRequest(
                 f"{peer.url}{PATH}{name}",
@@ -211,4 +211,4 @@
     others = [name for name in {*near, own} if name not in relays]
     ranked = rank_names(subject, first) + rank_names(subject, others)
     before = ranked[: ranked.index(own)]
-    return [near[name] for name in before[:MAX_PEERS_ASKED]]
+    return [near[name] for name in before[:MAX_PEERS_QUERIED]]
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -35,7 +35,7 @@
 from .origin_fetcher import OriginFetcher
 from .relay_members import RelayMembers
 from .shared_readings import (
-    MAX_PEERS_ASKED,
+    MAX_PEERS_QUERIED,
     EngineSetting,
     SharedReadings,
     VersionReading,
@@ -274,16 +274,16 @@
         own = self._deployment
         subject = f"{target.setting.model}/{wanted}"
         members, relays = self._members.members, self._members.relays
-        asked = readers_before(subject, own.host, own.region, members, relays)
-        pieces = await self._request_pieces(asked, wanted)
+        peers = readers_before(subject, own.host, own.region, members, relays)
+        pieces = await self._request_pieces(peers, wanted)
         if pieces is None:
             try:
                 pieces = await self._origin.read_list(target.setting.model, wanted)
             except CodedError:
                 # Sidecars may know the list too, and the origin may be down for a long time.
                 near = [m for m in members if m.instance.region == own.region]
-                others = [m for m in near if m.name != own.host and m not in asked]
-                pieces = await self._request_pieces(others[:MAX_PEERS_ASKED], wanted)
+                others = [m for m in near if m.name != own.host and m not in peers]
+                pieces = await self._request_pieces(others[:MAX_PEERS_QUERIED], wanted)
                 if pieces is None:
                     raise
         self._pieces = pieces
@@ -292,7 +292,7 @@
         return pieces
 
     async def _request_pieces(self, peers: list[MemberView], wanted: int) -> PieceList | None:
-        shared = await self._readings.ask_version(peers, wanted)
+        shared = await self._readings.request_version(peers, wanted)
         if shared is None:
             return None
         self._origin.take_list(shared.pieces)
