--- a/wasabidrum/weights/chunk_requester.py
+++ b/wasabidrum/weights/chunk_requester.py
@@ -121,7 +121,7 @@
         if view is None:
             return None, None
         self._counts.asks += 1
-        asked_at = self._now()
+        requested_at = self._now()
         self.health.record_request(name, self._now())
         is_silent = None if probe else functools.partial(self._should_abandon, name, digest)
         self._open += not probe
@@ -143,7 +143,7 @@
                 Event.CHUNK_RECEIVED,
                 chunk=digest,
                 peer=name,
-                seconds=round(self._now() - asked_at, 3),
+                seconds=round(self._now() - requested_at, 3),
                 late=round(answer.late_seconds, 3),
                 asks=self._open + 1,
             )
--- a/wasabidrum/weights/engine_configurator.py
+++ b/wasabidrum/weights/engine_configurator.py
@@ -37,7 +37,7 @@
         self._adapters = {}
         self._role = ""
 
-    async def order(self, target: Target) -> None:
+    async def apply(self, target: Target) -> None:
         """Sets the engine's role and loads the adapters that it lacks."""
         if self._role != target.role:
             await self._guard.confirm()
--- a/wasabidrum/weights/peer_prober.py
+++ b/wasabidrum/weights/peer_prober.py
@@ -81,7 +81,7 @@
         others: collections.abc.Callable[[], collections.abc.Iterable[str]],
         on_silent: collections.abc.Callable[[str, str], None],
     ) -> None:
-        """Creates a watch.
+        """Creates a prober.
 
         Args:
           probe: Returns the state of a chunk at a peer, or None on failure.
--- a/wasabidrum/weights/version_manager.py
+++ b/wasabidrum/weights/version_manager.py
@@ -195,10 +195,10 @@
         current = self._follower.current
         if find_target(current, self._name) != target:
             raise CodedError("superseded", "the configuration now names another target", 409)
-        order = asyncio.ensure_future(self._send_activate(version, current))
-        # A command that was sent cannot be recalled. It is shielded from cancellation and holds
-        # the command lock until it ends, so that the next command cannot overtake it.
-        await asyncio.shield(order)
+        command = asyncio.ensure_future(self._send_activate(version, current))
+        # A command that was sent cannot be recalled. It is shielded from cancellation, and the next
+        # command waits until it has ended, so that the two cannot race.
+        await asyncio.shield(command)
         self.active = version
         self.fetching = ""
         self._log.write(Event.VERSION_IN_FORCE, version=version)
@@ -214,7 +214,7 @@
         state.staged = ""
         self.fetching = ""
         self.chunks_held = self.chunks_wanted
-        await self._configurator.order(target)
+        await self._configurator.apply(target)
         if state.proven != target.version:
             model = self._follower.current.fleet.models[target.model]
             await asyncio.sleep(model.soak_seconds)
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -142,7 +142,7 @@
         self._pieces: PieceList | None = None
         self._progress = RelayProgress(0.0)
         # The inputs from which the members were last computed.
-        self._members_for: tuple[object, ...] = ()
+        self._members_inputs: tuple[object, ...] = ()
 
     @property
     def held_version(self) -> int:
@@ -161,14 +161,14 @@
         choice = VersionChoice(may_resume=False)
         try:
             while True:
-                found = self._find_target(choice)
-                if found is not None:
-                    self._update_members(found.service)
-                if found != target or (work is not None and work.done()):
-                    target = found
+                current = self._find_target(choice)
+                if current is not None:
+                    self._update_members(current.service)
+                if current != target or (work is not None and work.done()):
+                    target = current
                     await self._cancel_work(work)
                     self._progress = RelayProgress(asyncio.get_running_loop().time())
-                    work = asyncio.ensure_future(self._retry_forever(found)) if found else None
+                    work = asyncio.ensure_future(self._retry_forever(current)) if current else None
                 await asyncio.sleep(POLL_SECONDS)
         finally:
             await self._cancel_work(work)
@@ -211,12 +211,12 @@
 
     def _update_members(self, service: str) -> None:
         """Updates members and relays if they have changed since the last call."""
-        book, relays = self._state.endpoints, self._find_relays()
-        known = (service, book.version, relays)
-        if known == self._members_for:
+        registry, relays = self._state.endpoints, self._find_relays()
+        known = (service, registry.version, relays)
+        if known == self._members_inputs:
             return
-        self._members_for = known
-        self._members.update((e for e in book.endpoints if e.service == service), relays)
+        self._members_inputs = known
+        self._members.update((e for e in registry.endpoints if e.service == service), relays)
         self._distributor.chunk_requester.relays = frozenset(relays)
 
     async def _retry_forever(self, target: RelayTarget) -> None:
