--- a/wasabidrum/observe/event_buffer_test.py
+++ b/wasabidrum/observe/event_buffer_test.py
@@ -23,7 +23,7 @@
         self.assertEqual([event["t"] for event in buffer.find('r"')], [4.0])
         self.assertEqual(buffer.find(""), [])
 
-    def test_stays_bounded_whatever_is_logged(self) -> None:
+    def test_the_size_stays_bounded(self) -> None:
         """A caller floods the daemon with requests, each refused with a long reason. Without a
         limit in bytes the daemon would exceed its 32 MB of memory and be killed."""
         buffer = EventBuffer(limit=10_000)
--- a/wasabidrum/observe/event_test.py
+++ b/wasabidrum/observe/event_test.py
@@ -53,12 +53,12 @@
         names, _, _ = read_page()
         self.assertEqual(names, {int(event): event.name.lower() for event in Event})
 
-    def test_every_event_is_written_or_said_not_to_be(self) -> None:
+    def test_every_event_is_logged_or_listed_as_not_logged(self) -> None:
         _, _, unwritten = read_page()
         written = read_code().keys()
         self.assertEqual(unwritten, {event.name.lower() for event in Event} - written)
 
-    def test_every_fact_that_the_code_gives_is_explained(self) -> None:
+    def test_every_logged_field_is_documented(self) -> None:
         _, explained, _ = read_page()
         missing = {
             name: facts - explained.get(name, set())
--- a/wasabidrum/observe/library_logging_test.py
+++ b/wasabidrum/observe/library_logging_test.py
@@ -13,7 +13,7 @@
 class LibraryLoggingTest(unittest.TestCase):
     """A library logs an error with its traceback."""
 
-    def test_a_trace_becomes_one_line(self) -> None:
+    def test_a_traceback_becomes_one_event(self) -> None:
         """A fetch is cancelled, and the client library logs a traceback of ten lines. Mixed with
         structured lines, no log reader could parse them."""
         logger = logbook.Logger("test")
--- a/wasabidrum/observe/line_rate_limit_test.py
+++ b/wasabidrum/observe/line_rate_limit_test.py
@@ -8,7 +8,7 @@
 class LineRateLimitTest(unittest.TestCase):
     """Lines beyond the limit are dropped and counted."""
 
-    def test_a_flood_is_cut_to_the_bound_and_counted_once(self) -> None:
+    def test_a_flood_is_limited_and_dropped_lines_are_counted_once(self) -> None:
         """A caller retries without pause, and each of its requests would write two lines. The
         process would spend its time on logging, and the log store would drop other lines."""
         limit = LineRateLimit()
@@ -18,7 +18,7 @@
         self.assertEqual(limit.take_dropped(6.0), 2 * ROUTINE_LINES_PER_SECOND)
         self.assertEqual(limit.take_dropped(6.1), 0)
 
-    def test_the_next_second_begins_anew(self) -> None:
+    def test_the_limit_resets_each_second(self) -> None:
         limit = LineRateLimit()
         for _ in range(ROUTINE_LINES_PER_SECOND):
             limit.allow(5.0)
--- a/wasabidrum/observe/nonblocking_output_test.py
+++ b/wasabidrum/observe/nonblocking_output_test.py
@@ -23,7 +23,7 @@
             except OSError:
                 continue
 
-    async def test_a_reader_that_stops_does_not_stop_the_writer(self) -> None:
+    async def test_a_stalled_reader_does_not_block_the_writer(self) -> None:
         """The reader of the daemon's log hangs and the pipe fills. With blocking writes the daemon
         would answer no requests any more."""
         count = 2 * MAX_BACKLOG_BYTES // 1000
@@ -31,7 +31,7 @@
             self.output.write(LINE)
         self.assertGreater(self.output.dropped, count // 3)
 
-    async def test_what_waited_comes_whole_and_in_order(self) -> None:
+    async def test_buffered_lines_arrive_complete_and_in_order(self) -> None:
         lines = [f"{number} {LINE}" for number in range(300)]
         for line in lines:
             self.output.write(line)
@@ -46,7 +46,7 @@
         self.assertEqual(content.decode().splitlines(), lines)
         self.assertEqual(self.output.dropped, 0)
 
-    async def test_a_reader_that_is_gone_is_no_error(self) -> None:
+    async def test_a_closed_pipe_drops_lines_without_an_error(self) -> None:
         os.close(self.reader)
         for _ in range(3):
             self.output.write(LINE)
--- a/wasabidrum/weights/chunk_requester_test.py
+++ b/wasabidrum/weights/chunk_requester_test.py
@@ -8,7 +8,7 @@
 class DelistedPeerTest(unittest.IsolatedAsyncioTestCase):
     """A request is waiting at a peer while the platform's list changes."""
 
-    async def test_one_that_left_the_list_is_waited_at_no_longer(self) -> None:
+    async def test_a_request_at_a_delisted_peer_is_abandoned(self) -> None:
         """A suspended sidecar receives a request just before the platform removes it from the list.
         It cannot be probed after that, and engines lack one chunk until it resumes."""
         requester = make_distributor("a").chunk_requester
--- a/wasabidrum/weights/distributor_test.py
+++ b/wasabidrum/weights/distributor_test.py
@@ -89,7 +89,7 @@
 class WaitTest(unittest.IsolatedAsyncioTestCase):
     """Two sidecars, one of which the plan assigns to fetch the chunk from the origin."""
 
-    async def test_one_that_restarts_and_one_that_waits_for_it_do_not_wait_for_each_other(
+    async def test_a_restarted_sidecar_and_its_peer_do_not_wait_for_each_other(
         self,
     ) -> None:
         """A sidecar restarts during a distribution and receives no request for a second. It assumes
@@ -160,13 +160,13 @@
         await asyncio.gather(*(distributor.fetch(plan, digest) for digest in contents))
         return peers
 
-    async def test_weights_leave_a_narrow_link_to_requests(self) -> None:
+    async def test_weights_yield_a_narrow_link_to_requests(self) -> None:
         """Guards against requests that queue behind chunks until their callers give up."""
         peers = await self.fetch_all(in_progress=3)
         self.assertEqual(peers.at_once, 1)
         self.assertLess(min(peers.rates), 100_000.0)
 
-    async def test_weights_take_all_of_a_link_that_no_request_needs(self) -> None:
+    async def test_weights_use_an_idle_link_fully(self) -> None:
         """Guards against throttled weights on a link that carries no requests."""
         peers = await self.fetch_all(in_progress=0)
         self.assertEqual(peers.at_once, 12)
@@ -176,7 +176,7 @@
 class UnknownVersionTest(unittest.IsolatedAsyncioTestCase):
     """An entry receives a request for a chunk of a version that it does not know yet."""
 
-    async def test_whoever_asks_is_kept_waiting_and_does_not_pass_the_entry_over(self) -> None:
+    async def test_an_entry_reports_a_chunk_of_an_unknown_version_as_coming(self) -> None:
         """If the entry answered that it lacks the chunk, sidecars would skip it for four seconds
         and fetch from the origin what the entry is about to fetch."""
         relay = make_distributor("a")
--- a/wasabidrum/weights/engine_controller_test.py
+++ b/wasabidrum/weights/engine_controller_test.py
@@ -68,7 +68,7 @@
         self.controller = EngineController(self.engine, None, distributor, listed, None, 8.0, log)
         self.clock = self.enterContext(contextlib.ExitStack())
 
-    async def test_what_was_read_back_before_a_suspension_is_read_back_again(self) -> None:
+    async def test_pieces_verified_before_a_suspension_are_verified_again(self) -> None:
         """An instance is suspended while its sidecar verifies staged weights, and a piece that was
         already verified becomes corrupt before it resumes. The load command that follows would
         make the engine serve corrupt weights, with no trace in any log."""
@@ -82,7 +82,7 @@
         await self.controller._load(self.staged, VERSION)
         self.assertEqual(self.engine.loaded, [dict(enumerate(PIECES))])
 
-    async def test_an_engine_that_is_always_slow_to_read_gets_its_order(self) -> None:
+    async def test_an_engine_that_is_slow_to_read_is_still_loaded(self) -> None:
         """Verification is slow each time, as on an instance with little processor time. If the
         sidecar insisted on a fast one, its engine would never load the version."""
 
@@ -98,7 +98,7 @@
 class RetryTest(unittest.IsolatedAsyncioTestCase):
     """Work for a version that waits for its turn or fails unexpectedly."""
 
-    async def test_an_engine_that_has_waited_for_its_turn_gets_its_order(self) -> None:
+    async def test_waiting_for_a_turn_does_not_count_as_a_stall(self) -> None:
         """Guards against a wait that counts as a stall once it ends: the load command would be
         cancelled, and the engine would keep the old weights until they expire."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
@@ -120,7 +120,7 @@
             await controller._wait_for_turn(2)
         self.assertEqual(controller._choose(choice), 2)
 
-    async def test_work_that_fails_unexpectedly_is_begun_again(self) -> None:
+    async def test_work_that_fails_unexpectedly_is_retried(self) -> None:
         """Without a retry the engine would never load this version or any later one."""
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         store = types.SimpleNamespace(chunks_unknown=False, expected=set(), wake_all=lambda: None)
--- a/wasabidrum/weights/staged_version_test.py
+++ b/wasabidrum/weights/staged_version_test.py
@@ -19,7 +19,7 @@
 class CompleteLayerTest(unittest.IsolatedAsyncioTestCase):
     """A version of four layers, three pieces each."""
 
-    async def test_a_layer_is_complete_once_all_its_pieces_are_here(self) -> None:
+    async def test_a_layer_is_complete_once_all_its_pieces_are_staged(self) -> None:
         """Guards against a command to load a layer of which a piece is missing."""
         staged = StagedVersion(AcceptingEngine(), None, PieceList("m", 2, 1, PIECES))
         for number in (0, 1, 6, 7, 11):
--- a/wasabidrum/weights/suspension_guard_test.py
+++ b/wasabidrum/weights/suspension_guard_test.py
@@ -85,7 +85,7 @@
             await asyncio.wait_for(guard.confirm(), TIMEOUT_SECONDS)
         self.assertEqual(self.follower.revision, 5)
 
-    async def test_nobody_answers(self) -> None:
+    async def test_no_source_answers(self) -> None:
         """A sidecar resumes and reaches neither service nor peers. It must not act on its old
         state."""
         with self.assertRaises(TimeoutError):
--- a/wasabidrum/weights/version_download_test.py
+++ b/wasabidrum/weights/version_download_test.py
@@ -52,7 +52,7 @@
     @hypothesis.given(
         strategies.integers(0, 9999), strategies.lists(strategies.integers(0, 25), max_size=5)
     )
-    def test_an_engine_switches_to_whole_versions_only(self, seed: int, turns: list[int]) -> None:
+    def test_an_engine_activates_complete_versions_only(self, seed: int, turns: list[int]) -> None:
         """The target version changes repeatedly while chunks arrive in any order. If a cancelled
         download could end as if it were complete, callers would be served from partial weights
         or from a mix of two versions."""
@@ -137,7 +137,7 @@
         """Records a delivered chunk."""
         self.staged[index] = content
 
-    async def test_most_of_what_peers_have_waits_for_what_nobody_has(self) -> None:
+    async def test_origin_fetches_run_before_most_peer_requests(self) -> None:
         """On a slow link, a dozen concurrent requests to peers delay the origin fetches by
         seconds. If the origin fails meanwhile, the whole fleet lacks two chunks for the length
         of the outage."""
@@ -153,7 +153,7 @@
         await running
         self.assertEqual(len(self.staged), 60)
 
-    async def test_an_origin_that_is_gone_does_not_hold_up_what_peers_have(self) -> None:
+    async def test_an_unreachable_origin_does_not_delay_peer_requests(self) -> None:
         running = asyncio.ensure_future(self.download.run())
         await asyncio.sleep(ORIGIN_FIRST_SECONDS + 0.3)
         from_origin = sum(self.distributor.fetches_from_origin(index) for index in range(60))
@@ -161,7 +161,7 @@
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
-    async def test_a_link_that_is_narrow_is_asked_for_little_at_once(self) -> None:
+    async def test_a_narrow_link_limits_concurrent_requests(self) -> None:
         """A link becomes narrow during a download. A dozen chunks sent to it at once delay the
         engine's requests by nine seconds, and callers give up before their requests arrive."""
         self.distributor.late_seconds = 1.0
--- a/wasabidrum/weights/weights_relay.py
+++ b/wasabidrum/weights/weights_relay.py
@@ -274,15 +274,15 @@
         own = self._deployment
         subject = f"{target.setting.model}/{wanted}"
         members, relays = self._members.members, self._members.relays
-        peers = readers_before(subject, own.host, own.region, members, relays)
-        pieces = await self._request_pieces(peers, wanted)
+        first_peers = readers_before(subject, own.host, own.region, members, relays)
+        pieces = await self._request_pieces(first_peers, wanted)
         if pieces is None:
             try:
                 pieces = await self._origin.read_list(target.setting.model, wanted)
             except CodedError:
                 # Sidecars may know the list too, and the origin may be down for a long time.
                 near = [m for m in members if m.instance.region == own.region]
-                others = [m for m in near if m.name != own.host and m not in peers]
+                others = [m for m in near if m.name != own.host and m not in first_peers]
                 pieces = await self._request_pieces(others[:MAX_PEERS_QUERIED], wanted)
                 if pieces is None:
                     raise
