--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -155,7 +155,7 @@
         """See EndpointTable."""
         return [view for view in self.views if view.status is not None]
 
-    async def wait_until_heard(
+    async def wait_for_status(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
     ) -> bool:
         """See EndpointTable; engines that are not heard are not heard again."""
@@ -173,7 +173,7 @@
 
     def _take(self, view: EndpointView, status: Status) -> None:
         view.status = status
-        view.heard_at = asyncio.get_running_loop().time()
+        view.last_status_at = asyncio.get_running_loop().time()
 
 
 @dataclasses.dataclass(slots=True)
--- a/wasabidrum/decisions/chunk_pacing.py
+++ b/wasabidrum/decisions/chunk_pacing.py
@@ -49,7 +49,7 @@
 def region_rate(link_mbit: float, fraction: float, senders: int) -> float:
     """Returns one sender's share of the link between regions, in bytes per second.
 
-    The senders are the region's carriers that are alive. Each takes a fixed share, so that all
+    The senders are the region's ingress nodes that are alive. Each takes a fixed share, so that all
     together stay within the fraction without any coordination.
     """
     return link_mbit * BYTES_PER_MEGABIT * fraction / max(1, senders)
--- a/wasabidrum/decisions/chunk_peer_health.py
+++ b/wasabidrum/decisions/chunk_peer_health.py
@@ -76,7 +76,7 @@
         record = self._records.get(name)
         return record is not None and record.slow_count >= WAIT_AFTER_SLOW_COUNT
 
-    def lacks(self, name: str, digest: str, now: float) -> bool:
+    def has_recent_lack(self, name: str, digest: str, now: float) -> bool:
         """Returns whether a peer said recently that it neither holds nor expects a chunk."""
         return now < self._lacking_until.get((name, digest), 0.0)
 
--- a/wasabidrum/decisions/chunk_plan.py
+++ b/wasabidrum/decisions/chunk_plan.py
@@ -19,7 +19,7 @@
 import collections.abc
 import hashlib
 
-CARRIERS_PER_REGION = 4
+INGRESS_NODES_PER_REGION = 4
 TREE_FANOUT = 2
 # How many instances a relay sends a chunk to; the others get it along the tree.
 RELAY_FANOUT = 8
@@ -43,14 +43,14 @@
 class RegionPlan:
     """The order of one region's instances for each chunk, computed lazily.
 
-    Carriers are the instances that bring chunks into the region, taking turns by chunk.
+    Ingress nodes are the instances that bring chunks into the region, taking turns by chunk.
     """
 
     __slots__ = (
         "_names",
         "_relays",
         "_tree_heads",
-        "_non_carriers",
+        "_non_ingress_nodes",
         "_inner_counts",
         "_orders",
         "_chunks",
@@ -67,9 +67,9 @@
     ) -> None:
         self._names = tuple(rank_names(root, names))
         self._relays = tuple(rank_names(root, relays))
-        self._tree_heads = self._names[:CARRIERS_PER_REGION]
-        self._non_carriers = self._names[CARRIERS_PER_REGION:]
-        self._inner_counts = dict.fromkeys(self._non_carriers, 0)
+        self._tree_heads = self._names[:INGRESS_NODES_PER_REGION]
+        self._non_ingress_nodes = self._names[INGRESS_NODES_PER_REGION:]
+        self._inner_counts = dict.fromkeys(self._non_ingress_nodes, 0)
         self._orders: list[tuple[str, ...]] = []
         self._chunks = chunks
         self._region_count = region_count
@@ -80,9 +80,9 @@
         return self._names
 
     @property
-    def carriers(self) -> tuple[str, ...]:
+    def ingress_nodes(self) -> tuple[str, ...]:
         """The instances that bring chunks into the region."""
-        return self._relays[:CARRIERS_PER_REGION] or self._tree_heads
+        return self._relays[:INGRESS_NODES_PER_REGION] or self._tree_heads
 
     @property
     def relays(self) -> tuple[str, ...]:
@@ -90,26 +90,26 @@
         return self._relays
 
     def order(self, index: int) -> tuple[str, ...]:
-        """Returns a chunk's order: who brings it into the region, then the tree by level."""
+        """Returns a chunk's order: the nodes that bring it into the region, then the tree."""
         while len(self._orders) <= index:
             self._orders.append(self._make_order(len(self._orders)))
         return self._orders[index]
 
-    def carrier(self, index: int) -> str:
-        """Returns which carrier brings a chunk into the region when there are no faults."""
-        carriers = self.carriers
-        return carriers[(index // self._region_count) % len(carriers)]
+    def ingress_node(self, index: int) -> str:
+        """Returns which ingress node brings a chunk into the region when there are no faults."""
+        ingress_nodes = self.ingress_nodes
+        return ingress_nodes[(index // self._region_count) % len(ingress_nodes)]
 
     def _make_order(self, index: int) -> tuple[str, ...]:
-        carriers = self._relays[:CARRIERS_PER_REGION]
-        other_relays = self._relays[CARRIERS_PER_REGION:]
-        return self._rotate(carriers, index) + other_relays + self._make_tree(index)
+        ingress_nodes = self._relays[:INGRESS_NODES_PER_REGION]
+        other_relays = self._relays[INGRESS_NODES_PER_REGION:]
+        return self._rotate(ingress_nodes, index) + other_relays + self._make_tree(index)
 
     def _rotate(self, names: tuple[str, ...], index: int) -> tuple[str, ...]:
-        """Returns the carriers, rotated so that the one whose turn it is comes first.
+        """Returns the ingress nodes, rotated so that the one whose turn it is comes first.
 
         The rotation advances once per round of regions, so that each pair of region order and
-        carrier comes up equally often.
+        ingress node comes up equally often.
         """
         if not names:
             return ()
@@ -118,10 +118,11 @@
 
     def _make_tree(self, index: int) -> tuple[str, ...]:
         ring = self._rotate(self._tree_heads, index)
-        # Two carriers are at the top, so that the first to take over is a carrier as well;
-        # the other two come last, as leaves. Over all chunks each carrier sends one copy.
+        # Two ingress nodes are at the top, so that the first to take over is an ingress node as
+        # well; the other two come last, as leaves. Over all chunks each ingress node sends one
+        # copy.
         top, last = ring[:TREE_FANOUT], ring[TREE_FANOUT:]
-        ranked = rank_names(self._chunks[index], self._non_carriers)
+        ranked = rank_names(self._chunks[index], self._non_ingress_nodes)
         inner = self._choose_inner_nodes(ranked, index)
         inner_names = set(inner)
         leaves = tuple(name for name in ranked if name not in inner_names)
@@ -192,7 +193,7 @@
     def region_order(self, index: int) -> tuple[str, ...]:
         """Returns the chain of regions for a chunk: the first fetches it from the origin.
 
-        If the configuration tells the origin's region, that region fetches every chunk, because
+        If the configuration states the origin's region, that region fetches every chunk, because
         a fetch from elsewhere would cross the thin link between regions. Otherwise regions take
         turns. Each further region gets the chunk from the one before it.
         """
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -61,7 +61,7 @@
         return lambda other: (
             other != name
             and not health.is_skipped(other, self.now)
-            and not health.lacks(other, digest, self.now)
+            and not health.has_recent_lack(other, digest, self.now)
         )
 
     def ask(self, name: str, peer: str, digest: str, probe: bool = False) -> bool:
@@ -147,12 +147,12 @@
             self.assertLess(max(copies), 1.15)
             self.assertAlmostEqual(statistics.mean(copies), 0.95, places=1)
 
-    def test_another_carrier_takes_over_from_a_missing_one(self) -> None:
+    def test_another_ingress_node_takes_over_from_a_missing_one(self) -> None:
         plan = ChunkPlan("root", tuple(f"c{i}" for i in range(24)), make_regions(30))
         region = plan.regions["rift-a"]
         for index in range(24):
-            self.assertEqual(region.order(index)[0], region.carrier(index))
-            self.assertIn(region.order(index)[1], region.carriers)
+            self.assertEqual(region.order(index)[0], region.ingress_node(index))
+            self.assertIn(region.order(index)[1], region.ingress_nodes)
 
     def test_the_region_of_the_origin_fetches_everything(self) -> None:
         plan = ChunkPlan("root", ("a", "b", "c"), make_regions(6), "nbi-a")
@@ -280,8 +280,8 @@
 
     def test_relays_of_a_region_share_the_chunks_evenly(self) -> None:
         region = next(iter(self.relays.values()))
-        carriers = [self.plan.regions[region].carrier(i) for i in range(len(self.chunks))]
-        counts = [carriers.count(name) for name in set(carriers)]
+        ingress_nodes = [self.plan.regions[region].ingress_node(i) for i in range(len(self.chunks))]
+        counts = [ingress_nodes.count(name) for name in set(ingress_nodes)]
         self.assertEqual(len(counts), 2)
         self.assertLessEqual(max(counts) - min(counts), 3)
 
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -23,7 +23,7 @@
 
 def find_fetcher(plan: ChunkPlan, index: int) -> str:
     """Returns which instance fetches a chunk from the origin when there are no faults."""
-    return plan.regions[plan.region_order(index)[0]].carrier(index)
+    return plan.regions[plan.region_order(index)[0]].ingress_node(index)
 
 
 class Replay:
--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -41,13 +41,13 @@
     Attributes:
       after: A time at which it certainly had not been named yet; minus infinity if unknown.
       before: A time at which some process had certainly heard of it.
-      heard_at: When this process heard of it.
+      learned_at: When this process heard of it.
     """
 
     version: int
     after: float
     before: float
-    heard_at: float
+    learned_at: float
 
     def enforced_from(self, bound: float, outage: Outage) -> float:
         """Returns from when on requests must not begin on anything older.
@@ -56,7 +56,7 @@
           bound: The seconds that older versions remain allowed, counted while the store answers.
           outage: The store's last outage.
         """
-        unknown = min(self.heard_at + UNKNOWN_NAMING_SECONDS, self.before + bound)
+        unknown = min(self.learned_at + UNKNOWN_NAMING_SECONDS, self.before + bound)
         counted_from = self.after
         # If the bound had passed before the outage began, the outage does not extend it.
         if self.after + bound > outage.started_at:
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -22,7 +22,7 @@
 # A process that was paused, or whose machine is busy, is usually heard again within this time. One
 # that is silent for longer is considered hung, and nobody waits for it.
 MAX_RECOVERABLE_SILENCE_SECONDS = 4.0
-HEARD_POLL_SECONDS = 0.1
+STATUS_WAIT_POLL_SECONDS = 0.1
 SILENT_FRACTION = 0.5
 
 
@@ -31,8 +31,8 @@
     """One endpoint as this entry sees it.
 
     Attributes:
-      heard_at: When its sidecar was last heard, by the event loop's clock.
-      status_arrived_at: When its status arrived, by the boot-time clock, which keeps counting
+      last_status_at: When its sidecar was last heard, by the event loop's clock.
+      last_status_boot_time: When its status arrived, by the boot-time clock, which keeps counting
         while the instance is suspended.
       in_progress: The number of this entry's requests that run there.
       lost: Whether it refused connections since it was last heard.
@@ -40,8 +40,8 @@
 
     instance: Instance
     status: Status | None = None
-    heard_at: float = 0.0
-    status_arrived_at: float = 0.0
+    last_status_at: float = 0.0
+    last_status_boot_time: float = 0.0
     in_progress: int = 0
     lost: bool = False
 
@@ -59,8 +59,8 @@
         ):
             return False
         self.status = status
-        self.heard_at = asyncio.get_running_loop().time()
-        self.status_arrived_at = boot_seconds()
+        self.last_status_at = asyncio.get_running_loop().time()
+        self.last_status_boot_time = boot_seconds()
         self.lost = False
         return True
 
@@ -147,33 +147,33 @@
         if view is None or view.lost:
             return False
         view.lost = refused
-        was_routable = view.heard_at > float("-inf")
+        was_routable = view.last_status_at > float("-inf")
         return refused and was_routable
 
     def exclude_pause(self, seconds: float) -> None:
         """Shifts the times of all views by a pause of this process, which explains silence."""
         for view in self._views.values():
-            view.heard_at += seconds
+            view.last_status_at += seconds
 
     def candidates(self, model: str, service: str) -> list[EndpointView]:
         """Returns the endpoints that can take a request for a model or a service now."""
         now = asyncio.get_running_loop().time()
         capable = [view for view in self._views.values() if can_serve(view, model, service)]
-        heard = [view for view in capable if now - view.heard_at <= STATUS_EXPIRES_SECONDS]
+        heard = [view for view in capable if now - view.last_status_at <= STATUS_EXPIRES_SECONDS]
         if heard:
             return heard
         # If most endpoints fell silent together, the fault is probably this entry's own. Routing
         # nowhere would turn it into an outage for all callers, while a wrong guess costs one
         # attempt. Endpoints that were silent for a limited time are therefore still used.
-        heard_before = [
-            view for view in self._views.values() if view.heard_at > 0.0 and not view.lost
+        reported_before = [
+            view for view in self._views.values() if view.last_status_at > 0.0 and not view.lost
         ]
-        silent = sum(now - view.heard_at > STATUS_EXPIRES_SECONDS for view in heard_before)
-        if silent <= len(heard_before) * SILENT_FRACTION:
+        silent = sum(now - view.last_status_at > STATUS_EXPIRES_SECONDS for view in reported_before)
+        if silent <= len(reported_before) * SILENT_FRACTION:
             return []
-        return [view for view in capable if now - view.heard_at <= LAST_RESORT_STATUS_SECONDS]
+        return [view for view in capable if now - view.last_status_at <= LAST_RESORT_STATUS_SECONDS]
 
-    async def wait_until_heard(
+    async def wait_for_status(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
     ) -> bool:
         """Waits for endpoints that are silent; returns whether one can take work again.
@@ -189,8 +189,8 @@
             # An endpoint is being heard, so silence is not the reason that none takes work.
             return False
         loop = asyncio.get_running_loop()
-        while loop.time() < deadline and self._may_be_heard_again(model, service, tried):
-            await asyncio.sleep(HEARD_POLL_SECONDS)
+        while loop.time() < deadline and self._may_report_again(model, service, tried):
+            await asyncio.sleep(STATUS_WAIT_POLL_SECONDS)
             if self._has_candidate(model, service, tried):
                 return True
         return False
@@ -198,12 +198,12 @@
     def _has_candidate(self, model: str, service: str, tried: frozenset[str]) -> bool:
         return any(view.instance.name not in tried for view in self.candidates(model, service))
 
-    def _may_be_heard_again(self, model: str, service: str, tried: frozenset[str]) -> bool:
+    def _may_report_again(self, model: str, service: str, tried: frozenset[str]) -> bool:
         now = asyncio.get_running_loop().time()
         return any(
             name not in tried
             and can_serve(view, model, service)
-            and now - view.heard_at <= MAX_RECOVERABLE_SILENCE_SECONDS
+            and now - view.last_status_at <= MAX_RECOVERABLE_SILENCE_SECONDS
             for name, view in self._views.items()
         )
 
--- a/wasabidrum/entry/endpoint_table_test.py
+++ b/wasabidrum/entry/endpoint_table_test.py
@@ -39,12 +39,12 @@
         """Waits for the service; returns whether it was heard and how long that took."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        heard = await self.table.wait_until_heard("", SERVICE, began + 10.0, tried)
+        heard = await self.table.wait_for_status("", SERVICE, began + 10.0, tried)
         return heard, loop.time() - began
 
     def fall_silent(self, seconds: float) -> None:
         """Makes the service's endpoint silent since the given number of seconds ago."""
-        self.table.find("tally-1").heard_at -= seconds
+        self.table.find("tally-1").last_status_at -= seconds
 
     async def test_wait_ends_when_endpoint_is_heard_again(self) -> None:
         self.fall_silent(STATUS_EXPIRES_SECONDS + 0.1)
--- a/wasabidrum/entry/key_handler.py
+++ b/wasabidrum/entry/key_handler.py
@@ -37,7 +37,7 @@
             raise CodedError("body_invalid", str(error), 400) from error
         if body.service not in caller.revision.fleet.workspaces[caller.workspace].services:
             raise CodedError("service_unknown", "unknown service", 404)
-        key = await self.entry.services.keys.issue_when_heard(
+        key = await self.entry.services.keys.issue_or_wait(
             body.service, body.lifetime_seconds, caller.deadline
         )
         self.set_status(201)
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -35,9 +35,7 @@
         sampled = self._random.sample(candidates, min(SAMPLED_ENDPOINTS, len(candidates)))
         return self.issue_for(min(sampled, key=lambda view: view.in_progress), lifetime)
 
-    async def issue_when_heard(
-        self, service: str, lifetime: float, deadline: float
-    ) -> IdempotencyKey:
+    async def issue_or_wait(self, service: str, lifetime: float, deadline: float) -> IdempotencyKey:
         """Returns a key as issue does; if all endpoints are silent, waits until one is heard.
 
         Raises:
@@ -47,7 +45,7 @@
         try:
             return self.issue(service, lifetime)
         except CodedError:
-            if not await self._table.wait_until_heard("", service, deadline):
+            if not await self._table.wait_for_status("", service, deadline):
                 raise
         return self.issue(service, lifetime)
 
@@ -63,7 +61,7 @@
             return None
         known = self._clocks.get(status.name)
         if known is None or known[0] != incarnation:
-            known = (incarnation, UptimeEstimator(status.uptime, view.status_arrived_at))
+            known = (incarnation, UptimeEstimator(status.uptime, view.last_status_boot_time))
             self._clocks[status.name] = known
-        known[1].record(status.uptime, view.status_arrived_at)
+        known[1].record(status.uptime, view.last_status_boot_time)
         return known[1].uptime(boot_seconds())
--- a/wasabidrum/entry/key_never_runs.py
+++ b/wasabidrum/entry/key_refusal.py
@@ -5,7 +5,7 @@
 from ..decisions.idempotency_key import parse_key
 
 
-class KeyNeverRunsError(CodedError):
+class KeyPermanentlyRefusedError(CodedError):
     """No copy of the call has run, and none ever will."""
 
     __slots__ = ()
@@ -19,7 +19,7 @@
     would be told so of a charge that another entry has run, and would charge again. The outcome
     becomes UNKNOWN, unless the refusal holds for every copy.
     """
-    if error.outcome is not Outcome.NOT_RUN or isinstance(error, KeyNeverRunsError):
+    if error.outcome is not Outcome.NOT_RUN or isinstance(error, KeyPermanentlyRefusedError):
         return error
     if parse_key(key) is None:
         # Every entry refuses a malformed key, so no copy with this one can have run.
--- a/wasabidrum/entry/model_attempt.py
+++ b/wasabidrum/entry/model_attempt.py
@@ -129,7 +129,7 @@
         # A request may legitimately wait for a long time in the engine's queue. Whether the
         # endpoint is still alive is judged by the statuses that arrive in the meantime.
         view = self.placement.view
-        silent = asyncio.get_running_loop().time() - view.heard_at > MAX_SILENCE_SECONDS
+        silent = asyncio.get_running_loop().time() - view.last_status_at > MAX_SILENCE_SECONDS
         known = any(other is view for other in self._table.views)
         if known and (view.lost or silent):
             raise CodedError(
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -158,7 +158,7 @@
 
     async def wait_for_endpoint(self, item: WorkItem, tried: frozenset[str] = frozenset()) -> bool:
         """Waits for an endpoint that is only silent; returns whether one can be chosen now."""
-        heard = await self._table.wait_until_heard(item.model, item.service, item.deadline, tried)
+        heard = await self._table.wait_for_status(item.model, item.service, item.deadline, tried)
         if heard:
             pool = self._pool(item)
             pool.invalidate()
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -16,7 +16,7 @@
 from .caller_request import CallerRequest
 from .endpoint_table import EndpointTable, EndpointView
 from .key_issuer import KeyIssuer
-from .key_never_runs import KeyNeverRunsError, weaken_refusal
+from .key_refusal import KeyPermanentlyRefusedError, weaken_refusal
 from .placement import Placement
 from .request_scheduler import RequestScheduler
 from .retry_policy import RetryPolicy
@@ -119,7 +119,9 @@
             # Entries accept only keys that they issued. Nobody could prove whether another
             # entry had sent a call with a key of the caller's own making to another endpoint.
             message = "the key was not issued here; request one first"
-            raise self._attach_new_key(KeyNeverRunsError("key_not_issued", message, 400), request)
+            raise self._attach_new_key(
+                KeyPermanentlyRefusedError("key_not_issued", message, 400), request
+            )
         endpoint = caller.revision.fleet.endpoints.get(key.endpoint)
         if endpoint is not None and endpoint.service != request.service:
             raise CodedError(
@@ -213,8 +215,10 @@
         except CodedError as error:
             if error.outcome is not Outcome.NOT_RUN:
                 raise
-            never_runs = KeyNeverRunsError(error.code, str(error), error.http_status)
-            raise self._attach_new_key(never_runs, request) from error
+            permanent_refusal = KeyPermanentlyRefusedError(
+                error.code, str(error), error.http_status
+            )
+            raise self._attach_new_key(permanent_refusal, request) from error
 
     async def _resolve(
         self, exchange: ServiceExchange, item: WorkItem, others_may_have_sent: bool
--- a/wasabidrum/entry/service_handler.py
+++ b/wasabidrum/entry/service_handler.py
@@ -6,7 +6,7 @@
 from ..core.outcome import Outcome
 from ..wire import headers
 from .caller_handler import CallerHandler
-from .key_never_runs import weaken_refusal
+from .key_refusal import weaken_refusal
 from .service_request import ServiceRequest
 
 PATH_PATTERN = re.compile(r"/[!-~]*")
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -75,9 +75,9 @@
 
     def record_report(self, name: str, view: EndpointView, now: float) -> None:
         """Records a view's load if it is newer than the last one recorded."""
-        if view.status is None or view.heard_at <= self._reported_at.get(name, float("-inf")):
+        if view.status is None or view.last_status_at <= self._reported_at.get(name, float("-inf")):
             return
-        self._reported_at[name] = view.heard_at
+        self._reported_at[name] = view.last_status_at
         # A plain service reports no load; its placeholder must not be counted as one slot.
         if self.model:
             run_seconds = self.queue.mean_run_seconds
--- a/wasabidrum/observe/event_log.py
+++ b/wasabidrum/observe/event_log.py
@@ -55,7 +55,7 @@
         """Writes an event with its fields; routine events are limited in number per second."""
         now = time.time()
         self.metrics.count_event(event, facts)
-        dropped = self._rate_limit.take_dropped(now)
+        dropped = self._rate_limit.reset_dropped_count(now)
         if dropped:
             self._write(now, Event.LINES_LEFT_OUT, {"lines": dropped})
         if event not in ROUTINE_EVENTS or self._rate_limit.allow(now):
--- a/wasabidrum/observe/line_rate_limit.py
+++ b/wasabidrum/observe/line_rate_limit.py
@@ -31,7 +31,7 @@
         self._left -= 1
         return True
 
-    def take_dropped(self, now: float) -> int:
+    def reset_dropped_count(self, now: float) -> int:
         """Returns the number of lines dropped in earlier seconds, and resets it."""
         if not self._dropped or int(now) == self._second:
             return 0
--- a/wasabidrum/observe/line_rate_limit_test.py
+++ b/wasabidrum/observe/line_rate_limit_test.py
@@ -14,9 +14,9 @@
         limit = LineRateLimit()
         written = sum(limit.allow(5.1) for _ in range(3 * ROUTINE_LINES_PER_SECOND))
         self.assertEqual(written, ROUTINE_LINES_PER_SECOND)
-        self.assertEqual(limit.take_dropped(5.9), 0)
-        self.assertEqual(limit.take_dropped(6.0), 2 * ROUTINE_LINES_PER_SECOND)
-        self.assertEqual(limit.take_dropped(6.1), 0)
+        self.assertEqual(limit.reset_dropped_count(5.9), 0)
+        self.assertEqual(limit.reset_dropped_count(6.0), 2 * ROUTINE_LINES_PER_SECOND)
+        self.assertEqual(limit.reset_dropped_count(6.1), 0)
 
     def test_the_limit_resets_each_second(self) -> None:
         limit = LineRateLimit()
--- a/wasabidrum/weights/distributor.py
+++ b/wasabidrum/weights/distributor.py
@@ -125,27 +125,27 @@
             self.counts.to_other_regions += size
 
     def share_link(self, plan: ChunkPlan) -> None:
-        """Sets this process's share of the link between regions from the usable carriers."""
+        """Sets this process's share of the link between regions from the usable ingress nodes."""
         region = plan.regions.get(self._settings.region)
         if region is None:
             return
         now = asyncio.get_running_loop().time()
         members = self.chunk_requester.members()
-        carriers = [
+        ingress_nodes = [
             name
-            for name in region.carriers
+            for name in region.ingress_nodes
             if name == self._settings.name
             or (name in members and not self.chunk_requester.health.is_skipped(name, now))
         ]
-        # Any member may stand in for dead carriers, so each takes a share small enough that all
-        # members together stay within the link's limit.
-        mine = self._settings.name in region.carriers
-        self.pacer.senders = len(carriers) if mine else len(region.names)
+        # Any member may stand in for dead ingress nodes, so each takes a share small enough that
+        # all members together stay within the link's limit.
+        mine = self._settings.name in region.ingress_nodes
+        self.pacer.senders = len(ingress_nodes) if mine else len(region.names)
 
-    def is_carrier(self, plan: ChunkPlan, index: int) -> bool:
+    def is_ingress_node(self, plan: ChunkPlan, index: int) -> bool:
         """Returns whether the plan assigns this process to bring a chunk into its region."""
         region = plan.regions.get(self._settings.region)
-        return region is not None and region.carrier(index) == self._settings.name
+        return region is not None and region.ingress_node(index) == self._settings.name
 
     def is_first_region(self, plan: ChunkPlan, index: int) -> bool:
         """Returns whether the plan assigns this region to fetch a chunk from the origin."""
@@ -257,7 +257,7 @@
                 name in members
                 and name != self._settings.name
                 and not self.chunk_requester.health.is_skipped(name, now)
-                and not self.chunk_requester.health.lacks(name, digest, now)
+                and not self.chunk_requester.health.has_recent_lack(name, digest, now)
             )
 
         return usable
--- a/wasabidrum/weights/peer_chunk_client.py
+++ b/wasabidrum/weights/peer_chunk_client.py
@@ -80,7 +80,7 @@
         """The seconds after which this download counts as stalled if nothing arrives."""
         return min(self._stalls_at, self._ends_at) - self._loop.time()
 
-    def take_header_line(self, line: str) -> None:
+    def on_header_line(self, line: str) -> None:
         """Processes one line of the response head."""
         if line.startswith("HTTP/"):
             self._head = httputil.HTTPHeaders()
@@ -100,7 +100,7 @@
         """Extends the expected end by the time for which this process was blocked."""
         self._due_at += seconds
 
-    def take_body_part(self, part: bytes) -> None:
+    def on_body_part(self, part: bytes) -> None:
         """Processes some bytes of the body."""
         if self.abandoned:
             # Tornado closes a connection whose input callback raises this error. Otherwise an
@@ -154,8 +154,8 @@
                 headers.REVISION: str(revision),
                 headers.REQUESTER_RATE: f"{rate:.0f}",
             },
-            header_callback=download.take_header_line,
-            streaming_callback=download.take_body_part,
+            header_callback=download.on_header_line,
+            streaming_callback=download.on_body_part,
             request_timeout=MAX_REQUEST_SECONDS,
         )
         fetched = asyncio.ensure_future(http_client.fetch(self._client, request, url))
--- a/wasabidrum/weights/version_download.py
+++ b/wasabidrum/weights/version_download.py
@@ -77,7 +77,7 @@
         from_peers: list[str] = []
         for digest in self._places:
             index = self._plan.index_of(digest)
-            if not self._distributor.is_carrier(self._plan, index):
+            if not self._distributor.is_ingress_node(self._plan, index):
                 from_peers.append(digest)
             elif self._distributor.is_first_region(self._plan, index):
                 from_origin.append(digest)
--- a/wasabidrum/weights/version_download_test.py
+++ b/wasabidrum/weights/version_download_test.py
@@ -25,7 +25,7 @@
         self._contents = contents
         self._chance = chance
 
-    def is_carrier(self, plan: ChunkPlan, index: int) -> bool:
+    def is_ingress_node(self, plan: ChunkPlan, index: int) -> bool:
         """See Distributor."""
         return index % 3 == 0
 
@@ -117,7 +117,7 @@
 
     def fetches_from_origin(self, index: int) -> bool:
         """Returns whether this sidecar fetches a chunk from the origin."""
-        return self.is_carrier(self._plan, index) and self.is_first_region(self._plan, index)
+        return self.is_ingress_node(self._plan, index) and self.is_first_region(self._plan, index)
 
 
 class OriginFirstTest(unittest.IsolatedAsyncioTestCase):
--- a/wasabidrum/wire/http_client.py
+++ b/wasabidrum/wire/http_client.py
@@ -64,7 +64,7 @@
         self._queue: asyncio.Queue[object] = asyncio.Queue()
         self._discarded = False
 
-    def take_header_line(self, line: str) -> None:
+    def on_header_line(self, line: str) -> None:
         """Processes one line of the response head."""
         if line.startswith("HTTP/"):
             self.status = int(line.split(" ", 2)[1])
@@ -72,7 +72,7 @@
         elif line.strip():
             self.headers.parse_line(line)
 
-    def take_chunk(self, chunk: bytes) -> None:
+    def on_body_part(self, chunk: bytes) -> None:
         """Processes some bytes of the body."""
         if not self._discarded:
             self._queue.put_nowait(chunk)
@@ -121,8 +121,8 @@
     stream = ResponseStream()
     head_arrived = asyncio.get_running_loop().create_future()
 
-    def take_header_line(line: str) -> None:
-        stream.take_header_line(line)
+    def on_header_line(line: str) -> None:
+        stream.on_header_line(line)
         if not line.strip() and not head_arrived.done():
             head_arrived.set_result(None)
 
@@ -140,8 +140,8 @@
         else:
             head_arrived.set_result(None)
 
-    request.header_callback = take_header_line
-    request.streaming_callback = stream.take_chunk
+    request.header_callback = on_header_line
+    request.streaming_callback = stream.on_body_part
     fetched = client.fetch(request, raise_error=False)
     # With raise_error=False a failed connection is reported as a response with status 599.
     wrapped = asyncio.ensure_future(raise_on_599(fetched))
