--- a/wasabidrum/decisions/attempt_rule.py
+++ b/wasabidrum/decisions/attempt_rule.py
@@ -1,4 +1,4 @@
-"""Which outcome the end of an attempt proves, and which status the caller gets.
+"""Decides which outcome the end of an attempt proves, and which status the caller gets.
 
 Load pattern: endpoints crash, lose responses, refuse requests when full or are cut off, while
 callers send requests that are not idempotent, such as charges. A charge that is retried after a
--- a/wasabidrum/decisions/chunk_eviction.py
+++ b/wasabidrum/decisions/chunk_eviction.py
@@ -1,4 +1,4 @@
-"""Which chunk a sidecar evicts when its memory for weights is full.
+"""Chooses which chunk a sidecar evicts when its memory for weights is full.
 
 Load pattern: a version is larger than a sidecar's memory for chunks, and replaced instances ask
 for it hours after the burst. If each sidecar kept the chunks that came last, a region would hold
--- a/wasabidrum/decisions/chunk_pacing.py
+++ b/wasabidrum/decisions/chunk_pacing.py
@@ -1,4 +1,4 @@
-"""When a sidecar may send a chunk, so that weights leave bandwidth for other traffic.
+"""Decides when a sidecar may send a chunk, so that weights leave bandwidth for other traffic.
 
 Load pattern: a burst of weights competes with live requests on the instance's own link, and with
 billing traffic on the link between regions. Without pacing, TCP gives many weight streams most of
--- a/wasabidrum/decisions/chunk_peer_health_test.py
+++ b/wasabidrum/decisions/chunk_peer_health_test.py
@@ -29,7 +29,7 @@
 
     def test_peer_that_is_always_slow_is_waited_for_in_the_end(self) -> None:
         """The only holder of a chunk is behind a permanently slow link, and the origin is gone.
-        If every request to it were aborted after a second, nobody would ever get the chunk."""
+        If every request to it were aborted after a second, no instance would ever get the chunk."""
         now = 0.0
         for _ in range(WAIT_AFTER_SLOW_COUNT):
             self.assertFalse(self.health.should_wait_for("peer"))
--- a/wasabidrum/decisions/chunk_source_choice_test.py
+++ b/wasabidrum/decisions/chunk_source_choice_test.py
@@ -65,7 +65,7 @@
         )
 
     def ask(self, name: str, peer: str, digest: str, probe: bool = False) -> bool:
-        """Has one instance ask another for a chunk; returns whether it has the chunk now."""
+        """Simulates a request of one instance to another; returns whether it has the chunk now."""
         health = self.health[name]
         health.record_request(peer, self.now)
         if peer not in self.alive or self.random.random() < self.loss:
@@ -86,7 +86,7 @@
         return True
 
     def step(self, name: str, digest: str, probes: int) -> None:
-        """Has one instance take its next step towards one chunk."""
+        """Simulates the next step of one instance towards one chunk."""
         plan = self.plans[self.wanted]
         requester = Requester(name, self.regions[name])
         index = plan.index_of(digest)
@@ -105,7 +105,7 @@
         self.held[name].add(digest)
 
     def play_round(self, number: int) -> None:
-        """Has every live instance take a step towards each chunk that it lacks."""
+        """Simulates one step of every live instance towards each chunk that it lacks."""
         names = sorted(self.alive)
         self.random.shuffle(names)
         for name in names:
--- a/wasabidrum/decisions/configuration_lease.py
+++ b/wasabidrum/decisions/configuration_lease.py
@@ -1,4 +1,4 @@
-"""How long a process may act on the configuration that it holds.
+"""Decides how long a process may act on the configuration that it holds.
 
 Load pattern: an operator revokes a key while some entries cannot reach the store. They continue
 with the configuration they have, in which the key is valid, for as long as the outage lasts. The
--- a/wasabidrum/decisions/endpoint_registry_test.py
+++ b/wasabidrum/decisions/endpoint_registry_test.py
@@ -31,8 +31,8 @@
         self.registry.apply(make_endpoint("b"), 11)
 
     def test_an_endpoint_removed_while_the_store_works_is_removed_at_once(self) -> None:
-        """An endpoint deregisters and exits. Kept in routing, it would get requests that nobody
-        answers."""
+        """An endpoint deregisters and exits. Kept in routing, it would get requests that no
+        process answers."""
         self.assertTrue(self.registry.apply_removal("a", 12, now=50.0))
         self.assertEqual(ids_of(self.registry), {"b"})
 
--- a/wasabidrum/decisions/endpoint_state.py
+++ b/wasabidrum/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What one entry knows about the state of one endpoint."""
+"""Holds what one entry knows about the state of one endpoint."""
 
 import math
 import random
--- a/wasabidrum/decisions/engine_forecast.py
+++ b/wasabidrum/decisions/engine_forecast.py
@@ -42,7 +42,7 @@
 
 
 def read_seconds(figures: EngineFigures, tokens: float) -> float:
-    """Returns how long the engine takes to read (prefill) a prompt."""
+    """Returns how long the engine takes to read a prompt."""
     pairs = tokens * tokens / 2 / 1_000_000.0
     return tokens / figures.read_rate + pairs * figures.read_per_million_pairs
 
--- a/wasabidrum/decisions/idempotency_record.py
+++ b/wasabidrum/decisions/idempotency_record.py
@@ -1,4 +1,4 @@
-"""What a sidecar stores for each idempotency key."""
+"""Defines what a sidecar stores for each idempotency key."""
 
 import dataclasses
 import enum
--- a/wasabidrum/decisions/idempotency_verdict.py
+++ b/wasabidrum/decisions/idempotency_verdict.py
@@ -1,4 +1,4 @@
-"""What the idempotency ledger decides about a call."""
+"""Defines what the idempotency ledger can decide about a call."""
 
 import dataclasses
 import enum
--- a/wasabidrum/decisions/inbound_rate_limit.py
+++ b/wasabidrum/decisions/inbound_rate_limit.py
@@ -2,7 +2,8 @@
 
 Load pattern: an instance's link is narrower than its settings say. Several chunks that are sent to
 it at once delay its engine's requests by seconds. Callers have left by the time that their
-requests arrive, and the resets follow on the same link, so that the engine works for nobody.
+requests arrive, and the resets follow on the same link, so that the engine works without a
+caller waiting for the result.
 
 The receiver of a chunk knows its lateness: how long after the end of the sender's transmission
 the chunk was complete. A lateness above LATE_SECONDS means that the link, or the path to it, is
@@ -29,7 +30,11 @@
     __slots__ = ("_link_rate", "_rate")
 
     def __init__(self, link_rate: float) -> None:
-        """Takes the bytes per second that weights may use of the link by its settings."""
+        """Creates a limit, initially the given rate.
+
+        Args:
+          link_rate: The bytes per second that weights may use of the link by its settings.
+        """
         self._link_rate = link_rate
         self._rate = link_rate
 
--- a/wasabidrum/decisions/member_record.py
+++ b/wasabidrum/decisions/member_record.py
@@ -1,4 +1,4 @@
-"""What a process knows about another member."""
+"""Holds what a process knows about another member."""
 
 import dataclasses
 
--- a/wasabidrum/decisions/peer_responsiveness.py
+++ b/wasabidrum/decisions/peer_responsiveness.py
@@ -1,4 +1,4 @@
-"""Detects unresponsive peers, and tells them apart from a slow link of this sidecar itself.
+"""Detects unresponsive peers, and distinguishes them from a slow link of this sidecar itself.
 
 Load pattern: while a version spreads, all sidecars wait at a few peers for chunks that these still
 lack. A peer that waits itself says nothing for seconds; so does one that is suspended or whose
--- a/wasabidrum/decisions/peer_responsiveness_test.py
+++ b/wasabidrum/decisions/peer_responsiveness_test.py
@@ -67,7 +67,7 @@
 
     def test_suspended_peer_is_skipped_and_used_again_after_it_resumes(self) -> None:
         """A sidecar is suspended while others wait at it. Without probes all would wait until
-        the long wait times out; skipped for ever, it would send nobody the chunks it holds."""
+        the long wait times out; skipped for ever, it would not send the chunks it holds."""
         self.replay.answer_seconds["side-3"] = NEVER
         self.assertEqual(self.replay.probe_all(), {"side-3"})
         self.replay.answer_seconds["side-3"] = 0.01
@@ -82,7 +82,7 @@
         self.assertEqual(self.replay.probe_all(), {"side-1", "side-4"})
         self.assertFalse(self.is_own_link_suspected())
 
-    def test_with_a_narrow_link_of_its_own_a_sidecar_skips_nobody(self) -> None:
+    def test_with_a_narrow_link_of_its_own_a_sidecar_skips_no_peer(self) -> None:
         """A sidecar's own link is narrow, and all answers arrive late. If it skipped all peers,
         it would fetch the whole version from the origin once more."""
         self.replay.answer_seconds = dict.fromkeys(self.replay.answer_seconds, 1.8)
@@ -136,7 +136,7 @@
 
     def test_each_chunk_of_a_skipped_peer_is_fetched_by_one_other(self) -> None:
         """A sidecar is suspended before it has fetched its part of the version, or before it has
-        sent that part to anyone. If each sidecar that waits for it fetched that part, the origin
+        sent that part to another. If each sidecar that waits for it fetched that part, the origin
         would send it five times; fetched by one, it costs a sixth of a copy."""
         plan = ChunkPlan("root", CHUNKS, REGION_OF)
         for lost in REGION_OF:
--- a/wasabidrum/decisions/recent_lateness.py
+++ b/wasabidrum/decisions/recent_lateness.py
@@ -1,9 +1,9 @@
-"""How much later than forecast an endpoint has recently begun requests.
+"""Tracks how much later than forecast an endpoint has recently begun requests.
 
 Load pattern: an endpoint's link is narrow and carries weights, or its queue is longer than it
 reported. Requests reach it seconds after they were sent, and whatever is sent after them, a reset
 included, arrives later still. A request that is placed there shortly before a bound begins after
-it, and cannot be recalled: on a day with links of 1 Mbit/s, 11 requests that had been recalled
+it, and cannot be recalled: on links of 1 Mbit/s, 11 requests that had been recalled
 0.4 s before a bound reached their engine 1.0 s after it and began, because the reset arrived 0.5 s
 behind them.
 
--- a/wasabidrum/decisions/recent_lateness_test.py
+++ b/wasabidrum/decisions/recent_lateness_test.py
@@ -1,4 +1,4 @@
-"""How much later than forecast an endpoint has recently begun requests."""
+"""Tests of how much later than forecast an endpoint has recently begun requests."""
 
 import unittest
 
--- a/wasabidrum/decisions/request_rate.py
+++ b/wasabidrum/decisions/request_rate.py
@@ -1,4 +1,4 @@
-"""How many requests per second an entry sends or refuses, by the latest requests."""
+"""Estimates how many requests per second an entry sends or refuses, by the latest requests."""
 
 import math
 
--- a/wasabidrum/decisions/request_recall.py
+++ b/wasabidrum/decisions/request_recall.py
@@ -1,4 +1,4 @@
-"""Decides which requests are recalled from the endpoint that they were sent to.
+"""Decides which requests are recalled (withdrawn) from the endpoint that they were sent to.
 
 Load pattern: an engine is suspended, or its link or queue delays requests for seconds. Requests
 that were placed there in time start when the delay ends: on weights that have been replaced, at
--- a/wasabidrum/decisions/rollout_wave.py
+++ b/wasabidrum/decisions/rollout_wave.py
@@ -1,4 +1,4 @@
-"""When an endpoint may switch to a version that it holds completely.
+"""Decides when an endpoint may switch to a version that it holds completely.
 
 Load pattern: hundreds of endpoints become ready within seconds of each other while live requests
 arrive. If all switched at once, none would answer; if the version cannot be loaded, all would
@@ -29,7 +29,7 @@
 class Proof(enum.Enum):
     """What is known of a version's canaries.
 
-    TRY tells this endpoint to be the canary.
+    TRY means that this endpoint is to be the canary.
     """
 
     WAIT = "wait"
--- a/wasabidrum/decisions/store_outage.py
+++ b/wasabidrum/decisions/store_outage.py
@@ -1,8 +1,8 @@
 """Determines from this process's own calls when the platform's store did not respond.
 
-Load pattern: the store does not respond for seconds while a new version is published. The time
+Load pattern: the store does not respond for seconds while a new version is named. The time
 within which a version must be in force counts only while the store responds. Counted from the
-publication, all callers would be refused before any engine could have learned of the version.
+naming, all callers would be refused before any engine could have learned of the version.
 
 Only what this process has observed counts. A run of failed calls shows that the store was down
 until the last of them was sent. It shows nothing about the time before a peer got a response, if
--- a/wasabidrum/decisions/switch_turns.py
+++ b/wasabidrum/decisions/switch_turns.py
@@ -1,4 +1,4 @@
-"""When each engine of a service loads newly named weights, so that others keep answering.
+"""Schedules when engines of a service load newly named weights, so that others keep answering.
 
 Load pattern: weights reach all engines within half a second of each other, because all links have
 the same width. An engine that is ordered to load them accepts nothing new until its last request
--- a/wasabidrum/decisions/switch_turns_test.py
+++ b/wasabidrum/decisions/switch_turns_test.py
@@ -29,7 +29,7 @@
         return count
 
     def test_half_of_the_engines_answer_while_the_others_load(self) -> None:
-        """Guards against all engines loading together, which serves nobody for two seconds."""
+        """If all engines loaded together, no caller would be served for two seconds."""
         moments = [STAGED_AT - 2.0 + 0.1 * step + 0.01 for step in range(60)]
         self.assertGreaterEqual(min(self.answering(at) for at in moments), 5)
         self.assertEqual(self.answering(moments[-1]), 10)
--- a/wasabidrum/decisions/version_choice.py
+++ b/wasabidrum/decisions/version_choice.py
@@ -1,7 +1,7 @@
-"""Which of the named versions a process downloads now.
+"""Chooses which of the named versions a process downloads now.
 
 Load pattern: versions are named faster than weights can be transferred. If each naming aborted the
-download of the version before, none would ever be complete, and nobody would be served once the
+download of the version before, none would ever be complete, and no caller would be served once the
 bounds of all had passed. If each download were finished, a version that is replaced at once would
 delay its successor by a whole transfer.
 
--- a/wasabidrum/decisions/version_choice_test.py
+++ b/wasabidrum/decisions/version_choice_test.py
@@ -64,7 +64,7 @@
         self.assertEqual(choice.choose(3, FINISH_FIRST_SHARE / 2, 0.1, False), 3)
 
     def test_of_versions_named_together_the_last_is_chosen(self) -> None:
-        """An outage ends, and a process hears of three versions in a row. Those before the last
+        """An outage ends, and a process learns of three versions in a row. Those before the last
         must not be finished first."""
         choice = VersionChoice()
         for version in (0, 2, 3):
@@ -80,7 +80,7 @@
         self.assertEqual(choice.choose(3, 1.0, STALL_TIMEOUT_SECONDS + 0.1, False), 3)
 
     def test_version_of_which_nothing_has_arrived_is_not_resumed(self) -> None:
-        """A process starts, and hears of a version before it has begun to download any."""
+        """A process starts, and learns of a version before it has begun to download any."""
         choice = VersionChoice()
         choice.choose(0, 0.0, 0.0, False)
         choice.choose(2, 0.0, 0.1, False)
--- a/wasabidrum/decisions/version_floor.py
+++ b/wasabidrum/decisions/version_floor.py
@@ -1,24 +1,26 @@
-"""The oldest version of a model's weights on which a request may still begin.
+"""Determines the oldest version of a model's weights on which a request may still begin.
 
-Load pattern: new weights are named while every engine still answers with the old ones. If the old
-ones were refused at once, all callers would wait for seconds; if they were allowed for ever, an
-engine that never switches would go on answering with weights that operators have replaced. So the
-old version is accepted until shortly before the bound that the users set, and from then on only
-engines that have switched get requests.
+Load pattern: a new version of weights is named (published in the platform's store as the one that
+the model's engines must load) while every engine still answers with the old one. If the old one
+were refused at once, all callers would wait for seconds; if it were allowed for ever, an engine
+that never switches would go on answering with weights that operators have replaced. So the old
+version is accepted until shortly before the bound that the users set, and from then on only engines
+that have switched get requests.
 
 The bound applies to the moment at which a request begins at its engine. Between the decision here
 and that moment there are links, queues and engines that stand still for seconds, and no margin
 covers them all. So there are two limits: one for placing a request, and a later one at which
-requests without any event so far are recalled (request_recall.py).
+requests without any event so far are recalled, that is, withdrawn from their endpoint
+(request_recall.py).
 
 A process knows only that a version was named after the last answer of the store without it, and
-before any process had heard of it. The bound is counted from the first of these two moments, so
-that a process that hears late does not extend it. A process that heard much later than its last
-answer, or has just started, would then often refuse all requests at once; it goes on placing
-requests on the old version for UNKNOWN_NAMING_SECONDS instead.
+before any process had learned of it. The bound is counted from the first of these two moments, so
+that a process that learns of it late does not extend it. A process that learned of it much later
+than its last answer, or has just started, would then often refuse all requests at once; it goes on
+placing requests on the old version for UNKNOWN_NAMING_SECONDS instead.
 
-The bound counts only while the store answers (store_outage.py): in an outage no process can hear of
-the version, and engines that have not heard of it cannot have switched.
+The bound counts only while the store answers (store_outage.py): in an outage no process can learn
+of the version, and engines that have not learned of it cannot have switched.
 
 All times are of a clock that also advances while the instance is suspended.
 """
@@ -40,8 +42,8 @@
 
     Attributes:
       after: A time at which it certainly had not been named yet; minus infinity if unknown.
-      before: A time at which some process had certainly heard of it.
-      learned_at: When this process heard of it.
+      before: A time at which some process had certainly learned of it.
+      learned_at: When this process learned of it from the store or another process.
     """
 
     version: int
@@ -70,7 +72,11 @@
     __slots__ = ("_named", "_bound")
 
     def __init__(self, bound: float) -> None:
-        """Takes the seconds from a version's naming until requests must not begin on older ones."""
+        """Creates a floor without versions.
+
+        Args:
+          bound: The seconds from a version's naming until requests must not begin on older ones.
+        """
         self._bound = bound
         self._named: list[NamedVersion] = []
 
@@ -96,7 +102,7 @@
         return True
 
     def record_reported(self, version: int, seconds: float, now: float) -> None:
-        """Records how many seconds ago another process had heard of a version."""
+        """Records how many seconds ago another process learned of a version."""
         self._named = [
             (
                 dataclasses.replace(w, before=max(w.after, min(w.before, now - seconds)))
--- a/wasabidrum/decisions/version_floor_test.py
+++ b/wasabidrum/decisions/version_floor_test.py
@@ -74,7 +74,7 @@
         self.assertAlmostEqual(self.floor.newest_seconds(103.0), 3.0)
 
     def test_version_that_is_heard_of_late_counts_from_the_last_answer_without_it(self) -> None:
-        """An entry wakes after 5 s and hears of a version only then. Counted from that moment,
+        """An entry wakes after 5 s and learns of a version only then. Counted from that moment,
         its callers would get the previous version until 5 s after all others have stopped."""
         self.floor.add(2, 100.0, 105.0)
         self.assertEqual(self.floor.oldest_to_place(100.0 + 8.0 - PLACE_MARGIN_SECONDS), 2)
@@ -88,9 +88,11 @@
         self.assertEqual(self.floor.oldest_to_place(last - 0.01), 1)
         self.assertEqual(self.floor.oldest_to_place(last), 2)
 
-    def test_others_are_told_when_it_was_heard_of_and_not_when_it_may_have_been_named(self) -> None:
-        """An entry that has just started tells others how long ago a version was named. If it
-        told its worst case, processes that know better would refuse their callers."""
+    def test_reported_age_counts_from_learning_of_it_and_not_from_the_earliest_possible_naming(
+        self,
+    ) -> None:
+        """An entry that has just started reports how long ago a version was named. If it
+        reported its worst case, processes that know better would refuse their callers."""
         floor = VersionFloor(8.0)
         floor.add(2, NEVER, 100.0)
         self.assertAlmostEqual(floor.newest_seconds(100.5), 0.5)
--- a/wasabidrum/decisions/weights_retirement.py
+++ b/wasabidrum/decisions/weights_retirement.py
@@ -1,11 +1,11 @@
-"""When the engine beside a sidecar must accept no more requests on replaced weights.
+"""Decides when the engine beside a sidecar must accept no more requests on replaced weights.
 
 Load pattern: requests are delayed for seconds on a narrow link, or in the sockets of a suspended
 instance. Their entry sent and recalled them in time, but the reset follows them on the same path,
 so that they begin after the bound. Only a process beside the engine can prevent that.
 
 Entries decide when requests are no longer placed on old weights, because they know of the store's
-outages. Each entry tells every sidecar how long that is. Once the limits of all entries have
+outages. Each entry reports to every sidecar how long that is. Once the limits of all entries have
 passed, the engine gives up the old weights. An entry whose stream has ended is not waited for; it
 decides again about the requests that it sends later.
 
--- a/wasabidrum/entry/caller_request.py
+++ b/wasabidrum/entry/caller_request.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerRequest:
-    """Who sent a request, under which configuration revision it runs, and its deadline.
+    """The sender of a request, the configuration revision under which it runs, and its deadline.
 
     Attributes:
       revision: The configuration revision that is used for the whole of this request.
--- a/wasabidrum/entry/endpoint_table.py
+++ b/wasabidrum/entry/endpoint_table.py
@@ -19,8 +19,8 @@
 STATUS_TIMEOUT_SECONDS = 1.0
 STATUS_EXPIRES_SECONDS = 2.0
 LAST_RESORT_STATUS_SECONDS = 30.0
-# A process that was paused, or whose machine is busy, is usually heard again within this time. One
-# that is silent for longer is considered hung, and nobody waits for it.
+# A process that was paused, or whose machine is busy, usually reports again within this time. One
+# that is silent for longer is considered hung, and no request waits for it.
 MAX_RECOVERABLE_SILENCE_SECONDS = 4.0
 STATUS_WAIT_POLL_SECONDS = 0.1
 SILENT_FRACTION = 0.5
@@ -31,11 +31,12 @@
     """One endpoint as this entry sees it.
 
     Attributes:
-      last_status_at: When its sidecar was last heard, by the event loop's clock.
-      last_status_boot_time: When its status arrived, by the boot-time clock, which keeps counting
-        while the instance is suspended.
+      last_status_at: When its sidecar's last status arrived, by the event loop's clock; shifted by
+        pauses of this process.
+      last_status_boot_time: The same moment by the boot-time clock, which keeps counting while the
+        instance is suspended; not shifted by pauses.
       in_progress: The number of this entry's requests that run there.
-      lost: Whether it refused connections since it was last heard.
+      lost: Whether it refused connections since its last status.
     """
 
     instance: Instance
@@ -159,9 +160,9 @@
         """Returns the endpoints that can take a request for a model or a service now."""
         now = asyncio.get_running_loop().time()
         capable = [view for view in self._views.values() if can_serve(view, model, service)]
-        heard = [view for view in capable if now - view.last_status_at <= STATUS_EXPIRES_SECONDS]
-        if heard:
-            return heard
+        current = [view for view in capable if now - view.last_status_at <= STATUS_EXPIRES_SECONDS]
+        if current:
+            return current
         # If most endpoints fell silent together, the fault is probably this entry's own. Routing
         # nowhere would turn it into an outage for all callers, while a wrong guess costs one
         # attempt. Endpoints that were silent for a limited time are therefore still used.
@@ -186,7 +187,7 @@
           tried: Endpoints that do not count, since they were already tried.
         """
         if self._has_candidate(model, service, tried):
-            # An endpoint is being heard, so silence is not the reason that none takes work.
+            # An endpoint's status is current, so silence is not the reason that none takes work.
             return False
         loop = asyncio.get_running_loop()
         while loop.time() < deadline and self._may_report_again(model, service, tried):
--- a/wasabidrum/entry/endpoint_table_test.py
+++ b/wasabidrum/entry/endpoint_table_test.py
@@ -36,32 +36,32 @@
             self.table.find(name).status = Status(name, InstanceRole.SIDECAR, "i", 1)
 
     async def wait(self, tried: frozenset[str] = NO_NAMES) -> tuple[bool, float]:
-        """Waits for the service; returns whether it was heard and how long that took."""
+        """Waits for the service; returns whether its status arrived and how long that took."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        heard = await self.table.wait_for_status("", SERVICE, began + 10.0, tried)
-        return heard, loop.time() - began
+        arrived = await self.table.wait_for_status("", SERVICE, began + 10.0, tried)
+        return arrived, loop.time() - began
 
     def fall_silent(self, seconds: float) -> None:
         """Makes the service's endpoint silent since the given number of seconds ago."""
         self.table.find("tally-1").last_status_at -= seconds
 
-    async def test_wait_ends_when_endpoint_is_heard_again(self) -> None:
+    async def test_wait_ends_when_endpoint_reports_again(self) -> None:
         self.fall_silent(STATUS_EXPIRES_SECONDS + 0.1)
         loop = asyncio.get_running_loop()
         loop.call_later(0.3, lambda: self.table.record_status(make_status("tally-1", 2)))
-        heard, seconds = await self.wait()
-        self.assertTrue(heard)
+        arrived, seconds = await self.wait()
+        self.assertTrue(arrived)
         self.assertLess(seconds, 1.0)
 
     async def test_no_wait_for_endpoint_silent_too_long(self) -> None:
         """Callers must not wait for an instance that hangs."""
         self.fall_silent(MAX_RECOVERABLE_SILENCE_SECONDS + 0.1)
-        heard, seconds = await self.wait()
-        self.assertFalse(heard)
+        arrived, seconds = await self.wait()
+        self.assertFalse(arrived)
         self.assertLess(seconds, 0.1)
 
-    async def test_no_wait_while_an_endpoint_is_heard(self) -> None:
+    async def test_no_wait_while_an_endpoint_reports(self) -> None:
         """Callers must not wait until their deadline for a full or ejected endpoint."""
         self.assertEqual((await self.wait())[0], False)
         self.assertLess((await self.wait())[1], 0.1)
--- a/wasabidrum/entry/key_issuer.py
+++ b/wasabidrum/entry/key_issuer.py
@@ -36,10 +36,10 @@
         return self.issue_for(min(sampled, key=lambda view: view.in_progress), lifetime)
 
     async def issue_or_wait(self, service: str, lifetime: float, deadline: float) -> IdempotencyKey:
-        """Returns a key as issue does; if all endpoints are silent, waits until one is heard.
+        """Returns a key as issue does; if all endpoints are silent, waits for a status of one.
 
         Raises:
-          CodedError: No endpoint can take work, or none was heard by the deadline, which is a
+          CodedError: No endpoint can take work, or none reported by the deadline, which is a
             time of the event loop's clock; outcome NOT_RUN.
         """
         try:
--- a/wasabidrum/entry/key_refusal.py
+++ b/wasabidrum/entry/key_refusal.py
@@ -6,7 +6,7 @@
 
 
 class KeyPermanentlyRefusedError(CodedError):
-    """No copy of the call has run, and none ever will."""
+    """A refusal of all copies of a call: none has run, and none ever will."""
 
     __slots__ = ()
 
@@ -15,7 +15,7 @@
     """Returns the refusal of a call with a caller's key, with an outcome that is certain.
 
     An entry that refuses one copy of a call knows nothing of copies that the caller sent through
-    other entries. If it answered NOT_RUN, a caller who resends to an overloaded or leaving entry
+    other entries. If it answered NOT_RUN, a caller that resends to an overloaded or leaving entry
     would be told so of a charge that another entry has run, and would charge again. The outcome
     becomes UNKNOWN, unless the refusal holds for every copy.
     """
--- a/wasabidrum/entry/request_scheduler.py
+++ b/wasabidrum/entry/request_scheduler.py
@@ -158,12 +158,14 @@
 
     async def wait_for_endpoint(self, item: WorkItem, tried: frozenset[str] = frozenset()) -> bool:
         """Waits for an endpoint that is only silent; returns whether one can be chosen now."""
-        heard = await self._table.wait_for_status(item.model, item.service, item.deadline, tried)
-        if heard:
+        responsive = await self._table.wait_for_status(
+            item.model, item.service, item.deadline, tried
+        )
+        if responsive:
             pool = self._pool(item)
             pool.invalidate()
             self._advance(pool, asyncio.get_running_loop().time())
-        return heard
+        return responsive
 
     def may_retry(self, item: WorkItem) -> bool:
         """Returns whether the retry budget allows one more attempt, and deducts it."""
--- a/wasabidrum/entry/service_call.py
+++ b/wasabidrum/entry/service_call.py
@@ -116,7 +116,7 @@
         """
         key = parse_key(request.key)
         if key is None:
-            # Entries accept only keys that they issued. Nobody could prove whether another
+            # Entries accept only keys that they issued. No entry could prove whether another
             # entry had sent a call with a key of the caller's own making to another endpoint.
             message = "the key was not issued here; request one first"
             raise self._attach_new_key(
--- a/wasabidrum/entry/service_call_test.py
+++ b/wasabidrum/entry/service_call_test.py
@@ -45,7 +45,7 @@
 
 
 class SuspendedEntryTest(unittest.IsolatedAsyncioTestCase):
-    """The entry is suspended, while its callers and the sidecar that it has heard are not."""
+    """The entry is suspended, while its callers and the sidecar that has reported to it are not."""
 
     async def asyncSetUp(self) -> None:
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
@@ -60,8 +60,8 @@
 
     def report_uptime(self, uptime: float) -> None:
         """Reports a status of the sidecar with the given uptime."""
-        told = Status(NAME, InstanceRole.SIDECAR, INCARNATION, service=SERVICE, uptime=uptime)
-        self.table.record_status(told)
+        status = Status(NAME, InstanceRole.SIDECAR, INCARNATION, service=SERVICE, uptime=uptime)
+        self.table.record_status(status)
 
     def make_caller(self) -> CallerRequest:
         """Returns a caller's request whose head has just been read."""
@@ -76,8 +76,8 @@
     async def test_charge_is_not_sent_after_caller_deadline(self) -> None:
         """An entry is suspended for two minutes with a charge that it has read but not sent. The
         event loop's clock does not count that time, and the caller gave up long ago, unnoticed.
-        After waking the entry hears the sidecar again; by the loop's clock the caller would still
-        be waiting, and the charge would run for nobody."""
+        After waking the entry gets a new status of the sidecar; by the loop's clock the caller
+        would still be waiting, and the charge would run for a caller that has left."""
         caller = self.make_caller()
         with suspended_for(SUSPENDED_SECONDS):
             self.report_uptime(UPTIME_SECONDS + SUSPENDED_SECONDS)
@@ -85,7 +85,7 @@
         self.assertEqual(len(self.client.sent), 0)
 
     async def test_key_issued_after_suspension_uses_current_uptime(self) -> None:
-        """An entry wakes and gets a charge before it has heard a sidecar again. By a clock that
+        """An entry wakes and gets a charge before a sidecar has reported again. By a clock that
         stopped meanwhile, the sidecar would seem two minutes younger than it is: a key issued now
         would have expired before it arrives, and the caller would be told "unknown" of a charge
         that never ran."""
@@ -100,8 +100,8 @@
         """Without a suspension, a charge carries the caller's deadline."""
         asking = asyncio.ensure_future(self.charge(self.make_caller()))
         await asyncio.wait((asking,), timeout=CALLER_TIMEOUT_SECONDS + SLACK_SECONDS)
-        told = float(self.client.sent[0].headers[headers.START_BEFORE])
-        self.assertLess(abs(UPTIME_SECONDS + CALLER_TIMEOUT_SECONDS - told), SLACK_SECONDS)
+        sent_deadline = float(self.client.sent[0].headers[headers.START_BEFORE])
+        self.assertLess(abs(UPTIME_SECONDS + CALLER_TIMEOUT_SECONDS - sent_deadline), SLACK_SECONDS)
         await asking
 
 
--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -87,8 +87,8 @@
         """Returns the median seconds per token of an endpoint's healthy peers, or zero.
 
         It is computed when needed, because the values of the last refresh may date from before
-        all endpoints became slow. The endpoint itself is left out: without healthy peers there is
-        nobody who could serve its callers faster.
+        all endpoints became slow. The endpoint itself is left out: without healthy peers no
+        endpoint could serve its callers faster.
         """
         paces = [
             peer.seconds_per_token(now)
--- a/wasabidrum/gateway/endpoint_connection.py
+++ b/wasabidrum/gateway/endpoint_connection.py
@@ -122,7 +122,7 @@
     def _discard_unsent(self) -> None:
         # After an ordinary close, the kernel goes on sending unacknowledged data. Over a
         # saturated link, a request would then reach its endpoint seconds after its caller has
-        # disconnected, and be worked on for nobody. A close with SO_LINGER at zero sends a reset
+        # disconnected, and be worked on in vain. A close with SO_LINGER at zero sends a reset
         # instead: it drops the unsent data and informs the endpoint at once.
         linger = struct.pack("ii", 1, 0)
         try:
--- a/wasabidrum/gateway/exchange.py
+++ b/wasabidrum/gateway/exchange.py
@@ -89,7 +89,7 @@
     async def _run(self) -> None:
         # The close callback reports only disconnects from now on. A connection that closed
         # between the last byte of the request and this point has to be detected here, or the
-        # request would be served for nobody.
+        # request would be served without a caller.
         if self._connection.stream.closed():
             self._log(Event.REQUEST_CANCELLED, code="cancelled", outcome=Outcome.NOT_RUN.value)
             return
--- a/wasabidrum/observe/line_rate_limit.py
+++ b/wasabidrum/observe/line_rate_limit.py
@@ -32,7 +32,7 @@
         return True
 
     def reset_dropped_count(self, now: float) -> int:
-        """Returns the number of lines dropped in earlier seconds, and resets it."""
+        """Returns the number of lines dropped in earlier seconds, and resets the count."""
         if not self._dropped or int(now) == self._second:
             return 0
         dropped, self._dropped = self._dropped, 0
--- a/wasabidrum/peers/peer_link.py
+++ b/wasabidrum/peers/peer_link.py
@@ -110,10 +110,10 @@
         self._sent_load = status.load
         changed = status_to_send is None and status.revision != self._sent_revision
         self._sent_revision = status.revision
-        news: tuple[MemberUpdate, ...] = ()
+        updates: tuple[MemberUpdate, ...] = ()
         digest = ""
         if self.gossip:
-            self._cursor, news = self._owner.updates_after(self._cursor, MAX_UPDATES_PER_PUSH)
+            self._cursor, updates = self._owner.updates_after(self._cursor, MAX_UPDATES_PER_PUSH)
             digest = self._owner.list_digest
             digest = "" if digest == self._sent_list else digest
             self._sent_list = digest or self._sent_list
@@ -125,7 +125,7 @@
             uptime=status.uptime,
             list_as_of=self._owner.list_as_of if digest else 0.0,
             list_digest=digest,
-            news=news,
+            news=updates,
             revision=status.revision if changed else 0,
             config_digest=status.config_digest if changed else "",
         )
--- a/wasabidrum/weights/engine_controller.py
+++ b/wasabidrum/weights/engine_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the local engine at the version that operators have published."""
+"""Keeps the local engine at the version that operators have named."""
 
 import asyncio
 import contextlib
@@ -62,7 +62,7 @@
         """Creates a controller.
 
         Args:
-          bound: Seconds after a version is published until which older versions may serve.
+          bound: Seconds after a version is named until which older versions may serve.
         """
         self._engine = engine
         self._origin = origin
@@ -104,7 +104,7 @@
             await asyncio.sleep(REPORT_SECONDS)
 
     async def run(self) -> None:
-        """Stages and activates each published version, forever."""
+        """Stages and activates each named version, forever."""
         choice = VersionChoice()
         store = self._distributor.store
         while True:
--- a/wasabidrum/weights/listed_engines.py
+++ b/wasabidrum/weights/listed_engines.py
@@ -1,4 +1,4 @@
-"""A sidecar's view of the platform's store: members, published versions and engine settings."""
+"""A sidecar's view of the platform's store: members, named versions and engine settings."""
 
 import asyncio
 import collections.abc
@@ -27,13 +27,13 @@
     readers_before,
 )
 
-# Timeout of a watch call. Versions are published rarely, and each time-out costs another call.
+# Timeout of a watch call. Versions are named rarely, and each time-out costs another call.
 WATCH_SECONDS = 20.0
 # Pause between failed calls. Forty sidecars that retry three times a second make more calls than
 # all other clients. Once the store is back, a version is learned at most one pause later.
 PAUSE_SECONDS = 0.2
 MAX_PAUSE_SECONDS = 0.6
-# Members are read when a version is published, and at this interval while weights are missing.
+# Members are read when a version is named, and at this interval while weights are missing.
 MEMBERS_SECONDS = 2.0
 # How long a process waits for a relay after its start before it plans without relays; entries open
 # their streams to it within half a second.
@@ -41,12 +41,12 @@
 
 
 class ListedEngines(MemberViews):
-    """Watches published versions, and reads members and settings on demand.
+    """Watches named versions, and reads members and settings on demand.
 
     Its members are the sidecars of this service's engines, this one included.
 
     Attributes:
-      wanted: The newest published version of this engine's model; zero if there is none.
+      wanted: The newest named version of this engine's model; zero if there is none.
       model: The model of this engine; empty before it is known.
       layers: The number of layers of the model.
       on_members: Called after a periodic read of the members while the engine lacks its weights.
@@ -125,7 +125,7 @@
         return self.named_for(self.wanted)
 
     def named_for(self, version: int) -> float:
-        """Returns the seconds since a version was learned to be published; zero if unknown."""
+        """Returns the seconds since a version was learned to be named; zero if unknown."""
         at = self._named_at.get(version)
         return boot_seconds() - at if at is not None else 0.0
 
@@ -198,7 +198,7 @@
             await self._changed.wait_for(lambda: self.wanted != version)
 
     async def run(self) -> None:
-        """Reads everything once, then watches published versions, forever."""
+        """Reads everything once, then watches named versions, forever."""
         failures = 0
         while True:
             try:
--- a/wasabidrum/weights/shared_readings.py
+++ b/wasabidrum/weights/shared_readings.py
@@ -1,6 +1,6 @@
 """Shares what one process of a region has read from the platform with its peers there.
 
-Load pattern: a version is published, or a power outage ends, and every sidecar reads the same data
+Load pattern: a version is named, or a power outage ends, and every sidecar reads the same data
 at the same moment: the configuration (some hundred kilobytes with a thousand routes), the members,
 and the version's piece list. Forty sidecars that share a link of 15 Mbit/s need ten seconds for the
 configuration alone; reads time out and restart, and the link stays saturated meanwhile. The
@@ -33,7 +33,7 @@
 VERSION_SECONDS = 0.6
 # How long a peer holds a request while it is still reading the data itself.
 MAX_HOLD_SECONDS = 1.5
-# How long members count as current. All sidecars read a published version within a second; later,
+# How long members count as current. All sidecars read a named version within a second; later,
 # the members may have changed.
 MEMBERS_VALID_SECONDS = 2.0
 STATUS_MISSING = 404
@@ -70,11 +70,11 @@
 
 
 class VersionReading(msgspec.Struct, frozen=True):
-    """The data read when a version is published: its piece list and the members.
+    """The data read when a version is named: its piece list and the members.
 
     Attributes:
       members: Empty if they were read too long ago.
-      named_for: Seconds since the version was learned to be published.
+      named_for: Seconds since the version was learned to be named.
     """
 
     pieces: PieceList
--- a/wasabidrum/wire/http_client.py
+++ b/wasabidrum/wire/http_client.py
@@ -116,7 +116,7 @@
     """Sends a request and returns once the head of its response has arrived.
 
     Raises:
-      CodedError: No head arrived; the outcome tells whether the request may have been sent.
+      CodedError: No head arrived; the outcome states whether the request may have been sent.
     """
     stream = ResponseStream()
     head_arrived = asyncio.get_running_loop().create_future()
