--- a/wasabidrum/entry/target_pool.py
+++ b/wasabidrum/entry/target_pool.py
@@ -75,9 +75,9 @@
 
     def record_report(self, name: str, view: EndpointView, now: float) -> None:
         """Records a view's load if it is newer than the last one recorded."""
-        if view.status is None or view.heard_at <= self._reported_at.get(name, float("-inf")):
+        if view.status is None or view.last_status_at <= self._reported_at.get(name, float("-inf")):
             return
-        self._reported_at[name] = view.heard_at
+        self._reported_at[name] = view.last_status_at
         # A plain service reports no load; its placeholder must not be counted as one slot.
         if self.model:
             run_seconds = self.queue.mean_run_seconds
@@ -87,8 +87,8 @@
         """Returns the median seconds per token of an endpoint's healthy peers, or zero.
 
         It is computed when needed, because the values of the last refresh may date from before
-        all endpoints became slow. The endpoint itself is left out: without healthy peers there is
-        nobody who could serve its callers faster.
+        all endpoints became slow. The endpoint itself is left out: without healthy peers no
+        endpoint could serve its callers faster.
         """
         paces = [
             peer.seconds_per_token(now)
--- a/wasabidrum/observe/line_rate_limit.py
+++ b/wasabidrum/observe/line_rate_limit.py
@@ -31,8 +31,8 @@
         self._left -= 1
         return True
 
-    def take_dropped(self, now: float) -> int:
-        """Returns the number of lines dropped in earlier seconds, and resets it."""
+    def reset_dropped_count(self, now: float) -> int:
+        """Returns the number of lines dropped in earlier seconds, and resets the count."""
         if not self._dropped or int(now) == self._second:
             return 0
         dropped, self._dropped = self._dropped, 0
