--- a/wasabidrum/decisions/endpoint_subset_test.py
+++ b/wasabidrum/decisions/endpoint_subset_test.py
@@ -33,7 +33,8 @@
     """Subsets are bounded, even and near, and change little."""
 
     def setUp(self) -> None:
-        # One of nine data centres of the planned size in two years: 400 entries, 1,900 endpoints.
+        # One of nine data centres at the size planned for two years ahead: in all 400 entries and
+        # 1,900 endpoints.
         self.entries = make_instances(InstanceRole.ENTRY, 1, 44)
         self.endpoints = make_instances(InstanceRole.SIDECAR, 1, 211)
 
