--- a/wasabidrum/entry/endpoint_watcher.py
+++ b/wasabidrum/entry/endpoint_watcher.py
@@ -112,7 +112,6 @@
     records: list[MemberRecord], current: FleetRevision | None
 ) -> dict[tuple[str, str], list[Instance]]:
     """Groups the sidecars by the model and service that the configuration assigns to them."""
-
     groups: dict[tuple[str, str], list[Instance]] = collections.defaultdict(list)
     specs = current.fleet.endpoints if current is not None else {}
     for record in records:
--- a/wasabidrum/entry/token_stream_reader.py
+++ b/wasabidrum/entry/token_stream_reader.py
@@ -115,5 +115,4 @@
 
 def broken_answer(message: str) -> CodedError:
     """Returns the error for a stream that violates the protocol."""
-
     return CodedError("answer_broken", message, 502, Outcome.FAILED)
--- a/wasabidrum/entry/token_stream_reader_test.py
+++ b/wasabidrum/entry/token_stream_reader_test.py
@@ -73,7 +73,6 @@
 
         Callers would otherwise read another caller's answer, or text of two versions.
         """
-
         crossed = TokenStreamReader("other.2", "", 0)
         self.assertEqual(read_all(crossed, make_lines(2))[2], "answer_crossed")
         mixed = TokenStreamReader(ATTEMPT, "v1", 1)
