--- a/tests/busy_entry_test.py
+++ b/tests/busy_entry_test.py
@@ -1,7 +1,7 @@
-"""An entry that is behind with its work, through real sockets.
+"""An overloaded entry, tested over real sockets.
 
-Each request of a crowd costs the entry as much processor time as on an instance that runs
-several times slower than usual, and all of them wait when the event loop looks for input.
+Each request of a burst costs the entry as much processor time as on an instance that runs
+several times slower than usual, and all of them are waiting when the event loop next polls.
 """
 
 import asyncio
@@ -19,32 +19,32 @@
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import heads, names
 
-# As many as the system holds for a process that does not accept.
-CROWD = 120
-SECONDS_EACH = 0.01
-CROWD_SECONDS = CROWD * SECONDS_EACH
+# As many connections as the system queues for a listener that does not accept them.
+BURST_REQUESTS = 120
+SECONDS_PER_REQUEST = 0.01
+BURST_SECONDS = BURST_REQUESTS * SECONDS_PER_REQUEST
 ROUTE_MS = 9000
 DEADLINE_MS = 6000
 real_read_request = heads.read_request
 
 
 def read_request_slowly(start, headers) -> RequestHead:
-    """Reads a head, for one of the crowd as slowly as on a slow instance."""
+    """Reads a request head; one of the burst takes as long as on a slow instance."""
     head = real_read_request(start, headers)
     if head.request_id.startswith("crowd"):
-        time.sleep(SECONDS_EACH)
+        time.sleep(SECONDS_PER_REQUEST)
     return head
 
 
-# How long a test waits for an answer whose time it does not judge, on a busy machine too.
-PATIENCE_SECONDS = 20.0
+# Limit for a response whose latency is not under test, long enough for a busy machine.
+RESPONSE_TIMEOUT_SECONDS = 20.0
 
 
 class WatchingEngine(threading.Thread):
-    """An engine beside the event loop, which sees the end of a connection when it comes.
+    """An engine on a thread of its own, which notices the end of a connection without delay.
 
     Attributes:
-      began: Whether a request has come.
+      began: Whether a request has arrived.
       ended_at: When its connection ended, by the event loop's clock.
     """
 
@@ -55,7 +55,7 @@
         self.ended_at = 0.0
 
     def run(self) -> None:
-        """Takes one request and waits for the end of its connection."""
+        """Accepts one request and waits for the end of its connection."""
         connection, _ = self.listener.accept()
         with connection:
             connection.recv(65_536)
@@ -68,7 +68,7 @@
 
 
 class BusyEntryCase(GatewayCase):
-    """An entry whose next turn of the event loop finds a crowd of requests."""
+    """An entry whose next event loop iteration finds a burst of requests."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -83,7 +83,7 @@
         await super().asyncTearDown()
 
     def connect(self) -> socket.socket:
-        """Opens a connection without giving the event loop a turn."""
+        """Opens a connection without yielding to the event loop."""
         address = self.fleet.deployments[0].callers
         caller = socket.create_connection((address.host, address.port), timeout=1.0)
         self.callers.append(caller)
@@ -92,7 +92,7 @@
     def send(
         self, caller: socket.socket, kind: str, request_id: str, deadline: int = DEADLINE_MS
     ) -> None:
-        """Sends a request whole, without giving the event loop a turn."""
+        """Sends a whole request without yielding to the event loop."""
         lines = (
             f"POST /{kind}/a?b=c HTTP/1.1",
             "Host: tally.example",
@@ -102,31 +102,32 @@
         )
         caller.sendall("\r\n".join([*lines, "", "x"]).encode())
 
-    def crowd_in(self) -> None:
-        """Sends the crowd's requests, of which none finds a route."""
-        for number in range(CROWD):
+    def send_burst(self) -> None:
+        """Sends the requests of the burst, none of which matches a route."""
+        for number in range(BURST_REQUESTS):
             self.send(self.connect(), "nothing", f"crowd-{number}")
 
-    async def reply_to(self, caller: socket.socket) -> Reply:
-        """Reads the answer on a connection."""
+    async def read_reply_on(self, caller: socket.socket) -> Reply:
+        """Reads the response on a connection."""
         reader, _ = await asyncio.open_connection(sock=caller)
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
             return await read_reply(reader)
 
     def seen(self, request_id: str) -> list[Seen]:
-        """Returns what endpoints got of a request."""
+        """Returns the copies of a request that endpoints received."""
         all_seen = self.a.seen + self.b.seen
         return [s for s in all_seen if s.headers[names.REQUEST_ID.lower()] == request_id]
 
 
-class CallerLeavesTest(BusyEntryCase):
-    """The end of a caller, noticed by an entry that is behind."""
+class CallerDisconnectTest(BusyEntryCase):
+    """Disconnects of callers, as noticed by an overloaded entry."""
 
-    async def test_work_ends_at_once_though_many_others_have_come(self) -> None:
-        """Many requests come at once to an entry that runs slowly, and a caller whose request
-        is at an engine leaves. The entry first reads all that has come; for seconds it looks
-        neither at closed connections nor at the clock, and the engine works on for nobody
-        while others wait for its slots. The events of other streams wait as long."""
+    async def test_request_is_cancelled_at_once_during_burst(self) -> None:
+        """Many requests arrive at once at a slow entry, and a caller whose request is running on an
+        engine disconnects. If the entry first read everything that has arrived, it would check
+        neither for closed connections nor for timers for seconds; the engine would work for nobody
+        while other requests wait for its slots, and the events of other streams would be delayed as
+        long."""
         engine = WatchingEngine()
         self.addCleanup(engine.listener.close)
         engine.start()
@@ -134,17 +135,17 @@
         leaver = self.connect()
         self.send(leaver, "unsafe", "r1")
         await self.fleet.wait_until(lambda: engine.began)
-        self.crowd_in()
+        self.send_burst()
         leaver.close()
         left_at = asyncio.get_running_loop().time()
         await self.fleet.wait_until(lambda: engine.ended_at, seconds=5.0)
-        self.assertLess(engine.ended_at - left_at, CROWD_SECONDS / 2)
+        self.assertLess(engine.ended_at - left_at, BURST_SECONDS / 2)
 
-    async def test_nothing_is_begun_for_a_caller_that_left_unread(self) -> None:
-        """A request lies unread at a busy entry until its caller gives up and closes. Read as
-        if it were new, it takes a connection to an engine, and a place in the entry's counts,
-        from a request that somebody waits for."""
-        self.crowd_in()
+    async def test_unread_request_of_disconnected_caller_is_not_started(self) -> None:
+        """A request is still unread at a busy entry when its caller gives up and disconnects. If it
+        were processed as new, it would take a connection to an engine, and a place in the entry's
+        counts, from a request whose caller is still waiting."""
+        self.send_burst()
         leaver = self.connect()
         self.send(leaver, "unsafe", "r1")
         leaver.close()
@@ -156,7 +157,7 @@
         self.assertEqual(self.seen("r1"), [])
 
     async def move_endpoints_to(self, port: int) -> None:
-        """Registers both endpoints at another port."""
+        """Registers both endpoints at another port, and waits until the entry has applied it."""
         for endpoint in (self.a, self.b):
             entry = endpoint.entry(address=f"{HOST}:{port}")
             await self.fleet.store.put(names.ENDPOINT_PREFIX + endpoint.id, entry)
@@ -164,14 +165,16 @@
         await self.fleet.wait_until(lambda: {e.port for e in endpoints.endpoints} == {port})
 
 
-class SameTurnTest(BusyEntryCase):
-    """A caller that leaves in the very turn in which something else happens to its request."""
+class SameIterationTest(BusyEntryCase):
+    """A caller that disconnects in the same event loop iteration in which its request's state
+    changes."""
 
-    async def test_nothing_is_sent_once_its_caller_has_left(self) -> None:
-        """A caller leaves while a connection to an engine is being opened, and a busy entry
-        learns of both in one turn of its event loop. Its task is cancelled as its wait ends
-        well, and unless the cancellation counts the request is sent. Nobody cancels it again:
-        the engine keeps a place for it until its first event finds the caller gone."""
+    async def test_nothing_is_sent_when_caller_disconnects_during_connect(self) -> None:
+        """A caller disconnects while a connection to an engine is being opened, and a busy entry
+        learns of both in one iteration of its event loop. The request's task is cancelled just as
+        its wait succeeds, and unless that cancellation takes effect the request is sent. Nothing
+        cancels it again: the engine holds a slot for it until its first event finds that the caller
+        is gone."""
         leaver = self.connect()
         real_connect = iostream.IOStream.connect
 
@@ -187,9 +190,10 @@
             await asyncio.sleep(0.1)
         self.assertEqual(self.seen("r1"), [])
 
-    async def test_a_refused_request_goes_nowhere_else_once_its_caller_has_left(self) -> None:
-        """An engine refuses a request in the turn in which its caller leaves. Unless the
-        cancellation counts, the request goes to another engine, for nobody."""
+    async def test_refused_request_is_not_retried_after_caller_disconnects(self) -> None:
+        """An engine refuses a request in the event loop iteration in which its caller disconnects.
+        Unless the cancellation takes effect, the request is retried on another engine, for
+        nobody."""
         leaver = self.connect()
 
         async def refuse_as_caller_leaves(endpoint, seen, writer) -> None:
@@ -204,7 +208,8 @@
 
 
 class UnreadTimeTest(BusyEntryCase):
-    """Time that a request spends unread, where its route allows more than its caller."""
+    """Time that a request spends unread, where the route's time limit is longer than the caller's
+    deadline."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -214,38 +219,38 @@
         await self.fleet.store.put(names.CONFIGURATION_KEY, configuration)
         await self.fleet.wait_until(lambda: self.gateway.state.version == 8)
 
-    async def test_the_time_that_a_request_lay_unread_is_not_handed_to_an_endpoint(self) -> None:
-        """A request lies unread for a second at a busy entry. Counted from its reading, its
-        deadline ends a second after its caller is gone, and until then an endpoint works for
-        nobody."""
-        self.crowd_in()
+    async def test_time_spent_unread_is_deducted_from_endpoint_deadline(self) -> None:
+        """A request is unread for a second at a busy entry. If its deadline were counted from when
+        it is read, it would end a second after the caller has given up, and until then an endpoint
+        would work for nobody."""
+        self.send_burst()
         caller = self.connect()
         self.send(caller, "safe", "r1")
-        self.assertEqual((await self.reply_to(caller)).status, 200)
+        self.assertEqual((await self.read_reply_on(caller)).status, 200)
         told = int(self.seen("r1")[0].headers[names.DEADLINE.lower()])
-        self.assertLessEqual(told, DEADLINE_MS - 1000 * CROWD_SECONDS)
+        self.assertLessEqual(told, DEADLINE_MS - 1000 * BURST_SECONDS)
 
-    async def test_a_request_whose_time_passed_unread_is_refused_at_once(self) -> None:
-        """A caller that waits 300 ms is read after a second. Sent on, its request takes an
-        endpoint's place and its answer comes too late in any case; refused, its caller may
-        try elsewhere, for it has not run."""
-        self.crowd_in()
+    async def test_request_that_expired_unread_is_refused(self) -> None:
+        """A request with a deadline of 300 ms is read after a second. If it were forwarded, it
+        would take an endpoint's slot for a response that comes too late in any case; if it is
+        refused as not run, its caller may retry elsewhere."""
+        self.send_burst()
         caller = self.connect()
         self.send(caller, "unsafe", "r1", deadline=300)
-        reply = await self.reply_to(caller)
+        reply = await self.read_reply_on(caller)
         self.assertEqual((reply.status, self.seen("r1")), (503, []))
         self.assertIn(b"deadline_passed", reply.body)
 
-    async def test_a_connection_that_was_opened_early_costs_its_request_nothing(self) -> None:
-        """A caller opens a connection ahead of its request. Counted from the opening, its
-        request would have less time than its caller gives it."""
-        self.crowd_in()
+    async def test_early_connection_does_not_reduce_request_deadline(self) -> None:
+        """A caller opens a connection ahead of its request. If the deadline were counted from the
+        opening, the request would have less time than its caller allows."""
+        self.send_burst()
         caller = self.connect()
         await self.fleet.ask(0, "tally", "nothing", "last")
         self.send(caller, "safe", "r1")
-        self.assertEqual((await self.reply_to(caller)).status, 200)
+        self.assertEqual((await self.read_reply_on(caller)).status, 200)
         told = int(self.seen("r1")[0].headers[names.DEADLINE.lower()])
-        self.assertGreater(told, DEADLINE_MS - 1000 * CROWD_SECONDS / 2)
+        self.assertGreater(told, DEADLINE_MS - 1000 * BURST_SECONDS / 2)
 
 
 if __name__ == "__main__":
--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -1,4 +1,4 @@
-"""The whole path of published routes, through real sockets, against misbehaving endpoints."""
+"""End-to-end tests of published routes over real sockets, with misbehaving endpoints."""
 
 import asyncio
 import unittest
@@ -24,7 +24,7 @@
 
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
-    """One entry before two endpoints."""
+    """One entry with two endpoints behind it."""
 
     tenants = False
 
@@ -43,18 +43,18 @@
         await self.fleet.stop()
 
     def set_both(self, behave) -> None:
-        """Has both endpoints behave alike."""
+        """Sets the same behaviour for both endpoints."""
         self.a.behave = self.b.behave = behave
 
     def runs(self, request_id: str) -> int:
-        """Returns how often a request ran."""
+        """Returns how many times a request ran on either endpoint."""
         return self.a.runs[request_id] + self.b.runs[request_id]
 
 
 class ForwardingTest(GatewayCase):
-    """What reaches endpoints and callers."""
+    """What an entry forwards to endpoints and returns to callers."""
 
-    async def test_a_request_is_passed_on_unchanged_and_its_answer_too(self) -> None:
+    async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1", "X-Own: 1", body=b"charge")
         seen = (self.a.seen + self.b.seen)[0]
         self.assertEqual(
@@ -64,75 +64,77 @@
         self.assertEqual(reply.status, 200)
         self.assertEqual(reply.headers[names.SIGNATURE.lower()], reply.body.decode())
 
-    async def test_the_endpoint_is_named_and_told_what_time_is_left(self) -> None:
+    async def test_expected_instance_and_remaining_time_are_sent_to_endpoint(self) -> None:
         await self.fleet.ask(0, "tally", "safe", "r1")
         endpoint = self.a if self.a.seen else self.b
         seen = endpoint.seen[0]
         self.assertEqual(seen.headers[names.EXPECT_INSTANCE.lower()], endpoint.id)
         self.assertLessEqual(int(seen.headers[names.DEADLINE.lower()]), 1500)
 
-    async def test_what_a_caller_says_of_itself_is_not_passed_on(self) -> None:
-        """A caller sends the header that tells endpoints whose key it showed. Passed on, it
-        would be billed to whomever the caller names."""
+    async def test_workspace_header_from_caller_is_not_forwarded(self) -> None:
+        """A caller forges the header that tells an endpoint which workspace's key was presented. If
+        the entry forwarded it, the request would be billed to any workspace the caller chose."""
         forged = f"{names.TENANT}: somebody"
         await self.fleet.ask(0, "tally", "safe", "r1", forged, KEY)
         seen = (self.a.seen + self.b.seen)[0]
         self.assertNotIn(names.TENANT.lower(), seen.headers)
         self.assertNotIn(names.AUTHORIZATION.lower(), seen.headers)
 
-    async def test_an_unknown_path_is_not_found_and_reaches_nobody(self) -> None:
+    async def test_unknown_path_is_not_found_and_reaches_no_endpoint(self) -> None:
         reply = await self.fleet.ask(0, "tally", "nothing", "r1")
         self.assertEqual(reply.status, 404)
         self.assertEqual(self.a.seen + self.b.seen, [])
 
-    async def test_a_body_that_is_too_long_is_refused(self) -> None:
+    async def test_too_large_body_is_refused(self) -> None:
         reply = await self.fleet.ask(0, "tally", "safe", "r1", body=b"x" * 100_001)
         self.assertEqual(reply.status, 413)
         self.assertEqual(self.runs("r1"), 0)
 
 
 class OutcomeTest(GatewayCase):
-    """At most once, and honest about it."""
+    """A request that is not idempotent runs at most once, and its caller is told the true
+    outcome."""
 
-    async def test_a_charge_whose_answer_is_lost_is_not_sent_again(self) -> None:
-        """An endpoint runs a charge and its connection is reset before the answer. Sent to
-        the other endpoint the charge would run twice; told "not run", its caller would do it."""
+    async def test_charge_is_not_retried_after_its_response_is_lost(self) -> None:
+        """An endpoint runs a charge and its connection is reset before the response. If the entry
+        retried on the other endpoint, the charge would run twice; if it reported "not run", the
+        caller would retry, with the same result."""
         self.set_both(run_and_reset)
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1")
         self.assertEqual(reply.status, 502)
         self.assertEqual(self.runs("r1"), 1)
 
-    async def test_a_charge_that_was_refused_goes_to_the_other_endpoint(self) -> None:
+    async def test_refused_charge_is_retried_on_other_endpoint(self) -> None:
         self.a.behave = refuse
         for number in range(6):
             reply = await self.fleet.ask(0, "tally", "unsafe", f"r{number}")
             self.assertEqual((reply.status, reply.body), (200, b"b"))
             self.assertEqual(self.runs(f"r{number}"), 1)
 
-    async def test_where_all_refuse_the_caller_is_told_when_to_come_back(self) -> None:
+    async def test_caller_gets_retry_after_when_all_endpoints_refuse(self) -> None:
         self.set_both(refuse)
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1")
         self.assertEqual(reply.status, 503)
         self.assertGreater(float(reply.headers["retry-after"]), 0.0)
         self.assertNotIn(names.SIGNATURE.lower(), reply.headers)
 
-    async def test_a_read_goes_on_at_the_other_endpoint_after_a_loss(self) -> None:
+    async def test_read_is_retried_on_other_endpoint_after_reset(self) -> None:
         self.a.behave = run_and_reset
         for number in range(4):
             reply = await self.fleet.ask(0, "tally", "safe", f"r{number}")
             self.assertEqual((reply.status, reply.body), (200, b"b"))
 
-    async def test_a_dead_endpoint_costs_a_charge_nothing(self) -> None:
-        """An endpoint's process is gone and the platform still lists it. A connection that
-        is refused proves that nothing was sent, and the other endpoint runs the charge."""
+    async def test_charge_succeeds_on_other_endpoint_when_one_is_down(self) -> None:
+        """An endpoint's process has exited, but the platform still lists it. A refused connection
+        proves that nothing was sent, so the other endpoint can run the charge."""
         await self.a.stop()
         for number in range(4):
             reply = await self.fleet.ask(0, "tally", "unsafe", f"r{number}")
             self.assertEqual((reply.status, reply.body), (200, b"b"))
 
-    async def test_another_requests_answer_is_not_passed_on(self) -> None:
-        """A faulty endpoint answers with the id of another request. Passed on, a caller would
-        read somebody else's balance."""
+    async def test_response_with_wrong_request_id_is_not_forwarded(self) -> None:
+        """A faulty endpoint responds with the id of another request. If the response were
+        forwarded, a caller would read another caller's balance."""
 
         async def crossed(endpoint, seen, writer) -> None:
             other = seen.headers | {names.REQUEST_ID.lower(): "another"}
@@ -144,7 +146,7 @@
         self.assertEqual(reply.status, 502)
         self.assertNotIn(names.SIGNATURE.lower(), reply.headers)
 
-    async def test_a_success_without_signature_is_not_passed_on(self) -> None:
+    async def test_success_without_signature_is_not_forwarded(self) -> None:
         async def unsigned(endpoint, seen, writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             await writer.drain()
@@ -153,9 +155,9 @@
         reply = await self.fleet.ask(0, "tally", "safe", "r1")
         self.assertEqual(reply.status, 502)
 
-    async def test_half_a_body_is_not_an_answer(self) -> None:
-        """An endpoint declares a length and ends its connection before. Half a balance would
-        look like a whole one."""
+    async def test_truncated_body_is_an_error(self) -> None:
+        """An endpoint declares a content length and closes its connection before sending all of it.
+        The caller must not take a truncated balance for a complete one."""
 
         async def short(endpoint, seen, writer) -> None:
             body = f"HTTP/1.1 200 OK\r\n{names.SIGNATURE}: a\r\nContent-Length: 9\r\n\r\nhalf"
@@ -166,9 +168,9 @@
         reply = await self.fleet.ask(0, "tally", "safe", "r1")
         self.assertEqual(reply.status, 502)
 
-    async def test_an_answer_without_a_length_that_was_reset_is_not_whole(self) -> None:
-        """An answer that ends with its connection looks the same where the connection was
-        reset halfway, but for the reset itself."""
+    async def test_reset_of_response_without_length_is_an_error(self) -> None:
+        """A response without a length ends when its connection closes. A truncated one differs from
+        a complete one only in that the connection was reset."""
 
         async def unframed(endpoint, seen, writer) -> None:
 
@@ -181,7 +183,7 @@
         reply = await self.fleet.ask(0, "tally", "safe", "r1")
         self.assertEqual(reply.status, 502)
 
-    async def test_a_second_answer_on_a_connection_is_dropped(self) -> None:
+    async def test_unsolicited_second_response_is_discarded(self) -> None:
         async def twice(endpoint, seen, writer) -> None:
             await answer_ok(endpoint, seen, writer)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
@@ -192,7 +194,7 @@
             reply = await self.fleet.ask(0, "tally", "safe", f"r{number}")
             self.assertIn(reply.body, (b"a", b"b"))
 
-    async def test_a_request_that_is_never_answered_ends_at_its_routes_time(self) -> None:
+    async def test_unanswered_request_ends_at_route_timeout(self) -> None:
         async def hang(endpoint, seen, writer) -> None:
             await asyncio.sleep(60)
 
@@ -202,9 +204,9 @@
         self.assertEqual(reply.status, 504)
         self.assertLess(asyncio.get_running_loop().time() - began, 1.9)
 
-    async def test_an_endpoint_that_hangs_gets_nothing_more(self) -> None:
-        """An endpoint takes requests and never answers, though it is registered as ready.
-        Until the first of them are overdue, everyone who is sent there waits for nothing."""
+    async def test_hanging_endpoint_gets_no_further_requests(self) -> None:
+        """An endpoint accepts requests and never responds, although it is registered as ready.
+        Without detection, every request sent there would wait until its time-out."""
 
         async def hang(endpoint, seen, writer) -> None:
             await asyncio.sleep(3600)
@@ -220,12 +222,12 @@
             asyncio.ensure_future(self.fleet.ask(0, "tally", "safe", f"r{n}")) for n in range(10)
         ]
         await asyncio.gather(*later, *waiting)
-        # One may be sent to find out whether it answers again.
+        # One request may be sent as a probe, to find out whether the endpoint responds again.
         self.assertLessEqual(len(self.a.seen) - before, 1)
 
-    async def test_work_ends_when_its_caller_leaves(self) -> None:
-        """A caller closes its connection. Left alone, an endpoint works on for nobody while
-        others wait for its slots."""
+    async def test_request_is_cancelled_when_its_caller_disconnects(self) -> None:
+        """A caller closes its connection. Unless its request is cancelled, the endpoint keeps
+        working on a response that nobody reads, while other requests wait for its slots."""
 
         async def hang(endpoint, seen, writer) -> None:
             await asyncio.sleep(60)
@@ -235,10 +237,10 @@
             await self.fleet.ask(0, "tally", "unsafe", "r1", seconds=0.2)
         await self.fleet.wait_until(lambda: self.a.closed_early + self.b.closed_early == 1, 1.0)
 
-    async def test_a_request_whose_caller_left_is_not_delivered_later(self) -> None:
-        """An endpoint's link is full, and a request waits there unacknowledged when its caller
-        leaves. Closed as usual, the system would deliver it seconds later, and the endpoint
-        would work for nobody; the connection is reset, which drops it."""
+    async def test_unacknowledged_request_is_discarded_when_its_caller_disconnects(self) -> None:
+        """An endpoint's link is congested, and a request is still in the send buffer,
+        unacknowledged, when its caller disconnects. After a normal close the kernel would deliver
+        it seconds later, and the endpoint would run it for nobody; a reset discards the buffer."""
         ended = []
 
         async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -263,9 +265,9 @@
         server.close()
         self.assertEqual(ended, ["reset"])
 
-    async def test_a_request_that_kills_endpoints_is_stopped(self) -> None:
-        """One request crashes each endpoint that runs it, and its caller sends it again and
-        again. After two deaths it is refused, and nobody else loses an endpoint to it."""
+    async def test_request_that_crashes_endpoints_is_blocked(self) -> None:
+        """One request crashes every endpoint that runs it, and its caller keeps resending it. After
+        two crashes the request is rejected, so that no other endpoint is lost to it."""
         self.set_both(run_and_reset)
         for number in range(4):
             await self.fleet.ask(0, "tally", "safe", f"r{number}", body=b"poison")
@@ -276,20 +278,20 @@
 
 
 class StreamTest(GatewayCase):
-    """Streams that break off, and go on elsewhere."""
+    """Streams that are interrupted and resumed on another endpoint."""
 
     def expected(self, last: int) -> bytes:
-        """Returns the events up to the last."""
+        """Returns the stream up to and including the event with this number."""
         return b"".join(f"id: {n}\ndata: t{n}\n\n".encode() for n in range(1, last + 1))
 
-    async def test_a_whole_stream_is_passed_on(self) -> None:
+    async def test_complete_stream_is_forwarded(self) -> None:
         self.set_both(stream_events(1, 9))
         reply = await self.fleet.ask(0, "tally", "streaming", "r1")
         self.assertEqual((reply.whole, reply.body), (True, self.expected(9)))
 
-    async def test_a_stream_that_breaks_off_goes_on_at_the_other_endpoint(self) -> None:
-        """An endpoint dies in the middle of an event. The other goes on after the last whole
-        one, and the caller reads one stream with nothing missing and nothing twice."""
+    async def test_interrupted_stream_is_resumed_on_other_endpoint(self) -> None:
+        """An endpoint crashes in the middle of an event. The other endpoint resumes after the last
+        complete event, and the caller reads one stream without gaps or duplicates."""
         self.set_both(stream_events(1, 9, cut_after=4, half=True))
         whole = stream_events(1, 9)
 
@@ -304,13 +306,13 @@
         self.assertEqual(reply.body, self.expected(9))
         self.assertEqual((self.a.runs["r1"], self.b.runs["r1"]), (1, 1))
 
-    async def test_a_stream_that_nobody_goes_on_with_does_not_look_whole(self) -> None:
+    async def test_stream_that_cannot_be_resumed_does_not_look_complete(self) -> None:
         self.set_both(stream_events(1, 9, cut_after=4))
         reply = await self.fleet.ask(0, "tally", "streaming", "r1")
         self.assertFalse(reply.whole)
         self.assertEqual(reply.body, self.expected(4))
 
-    async def test_a_caller_that_resumes_is_sent_what_it_lacks(self) -> None:
+    async def test_resuming_caller_gets_only_missing_events(self) -> None:
         self.set_both(stream_events(1, 9))
         after = f"{names.LAST_EVENT_ID}: 6"
         reply = await self.fleet.ask(0, "tally", "streaming", "r1", after)
@@ -318,18 +320,18 @@
 
 
 class DiscoveryTest(GatewayCase):
-    """Endpoints that come, leave and are written by others."""
+    """Registrations and configurations that appear, disappear, or come from other writers."""
 
-    async def test_one_that_is_leaving_gets_nothing_new(self) -> None:
+    async def test_draining_endpoint_gets_no_new_requests(self) -> None:
         await self.fleet.store.put("servers/a", self.a.entry(state="draining"))
         await self.fleet.wait_until(lambda: self.gateway.state.endpoints.get("a").leaving)
         for number in range(6):
             await self.fleet.ask(0, "tally", "safe", f"r{number}")
         self.assertEqual(self.a.seen, [])
 
-    async def test_entries_that_cannot_be_read_disturb_nothing(self) -> None:
-        """Another writer puts entries into the store that lack fields or have others' types.
-        They name nobody, and those that are sound go on."""
+    async def test_malformed_registrations_are_ignored(self) -> None:
+        """Another writer puts registrations into the store that lack fields or have fields of the
+        wrong type. They are ignored, and valid registrations still take effect."""
         await self.fleet.store.put("servers/x", b"\xff\x00")
         await self.fleet.store.put("servers/y", {"service": "tally", "slots": "many"})
         await self.fleet.store.put("servers/z", self.a.entry(state="resting"))
@@ -338,14 +340,14 @@
         self.assertEqual({e.id for e in self.gateway.state.endpoints.endpoints}, {"a", "b"})
         self.assertEqual((await self.fleet.ask(0, "tally", "safe", "r1")).status, 200)
 
-    async def test_a_store_that_drops_its_history_is_read_again(self) -> None:
+    async def test_state_is_reloaded_when_store_has_compacted_its_history(self) -> None:
         self.fleet.store.history_from = 10**6
         await self.fleet.store.delete("servers/a")
         await self.fleet.wait_until(lambda: self.gateway.state.endpoints.get("a") is None)
 
-    async def test_an_old_configuration_does_not_come_back(self) -> None:
-        """A store that was restored offers a version from before. In force again, it would
-        undo an operator's change."""
+    async def test_older_configuration_is_not_applied(self) -> None:
+        """A store restored from a backup returns an older configuration version. If an entry
+        applied it, an operator's change would be undone."""
         await self.fleet.store.put(names.CONFIGURATION_KEY, make_configuration(9, "tally"))
         await self.fleet.wait_until(lambda: self.gateway.state.version == 9)
         await self.fleet.store.put(names.CONFIGURATION_KEY, make_configuration(8, "other"))
@@ -355,25 +357,26 @@
 
 
 class KeyTest(GatewayCase):
-    """Keys that are given, taken away, and judged on old evidence."""
+    """Keys that are valid, unknown, or checked while the configuration is out of date."""
 
     tenants = True
 
-    async def test_a_known_key_names_its_workspace_and_stays_here(self) -> None:
+    async def test_known_key_is_replaced_by_its_workspace(self) -> None:
         reply = await self.fleet.ask(0, "tally", "safe", "r1", KEY)
         seen = (self.a.seen + self.b.seen)[0]
         self.assertEqual(reply.status, 200)
         self.assertEqual(seen.headers[names.TENANT.lower()], "till")
         self.assertNotIn(names.AUTHORIZATION.lower(), seen.headers)
 
-    async def test_an_unknown_key_is_refused(self) -> None:
+    async def test_unknown_key_is_refused(self) -> None:
         bad = f"{names.AUTHORIZATION}: Bearer nobody"
         self.assertEqual((await self.fleet.ask(0, "tally", "safe", "r1", bad)).status, 401)
         self.assertEqual((await self.fleet.ask(0, "tally", "safe", "r2")).status, 401)
 
-    async def test_no_key_is_believed_on_evidence_that_is_too_old(self) -> None:
-        """The store is silent. A key may have been taken away meanwhile, so that after the
-        bound no key passes, good or bad, and the caller is told to come back."""
+    async def test_no_key_is_accepted_after_lease_has_expired(self) -> None:
+        """The store does not respond, and keys may have been revoked in the meantime. Once the
+        lease has expired, requests are refused whether their key is valid or not, and callers are
+        told to retry later."""
         self.fleet.store.fault = "hang"
         lease = self.gateway.state.lease
         await self.fleet.wait_until(lambda: not lease.is_valid(boot_seconds()), 8.0)
@@ -388,13 +391,14 @@
 
 
 class RelayTest(GatewayCase):
-    """Entries that the store turns away, beside one that it serves."""
+    """An entry that cannot reach the store, beside one that can."""
 
     tenants = True
 
-    async def test_an_entry_that_the_store_turns_away_hears_of_changes_from_another(self) -> None:
-        """The store answers one entry and not the other. Alone, the other would refuse every
-        key within seconds, and send to endpoints that have left; it asks the first."""
+    async def test_entry_without_store_gets_updates_from_peer(self) -> None:
+        """The store responds to one entry and not to the other. Without updates from its peer, the
+        other would refuse every key within seconds and keep sending requests to endpoints that have
+        left."""
         second = await self.fleet.add_gateway("entry-2")
         await self.fleet.wait_until(lambda: second.ready)
         second._follower._store._url = "http://127.0.0.1:9"
@@ -406,9 +410,9 @@
         self.assertTrue(second.ready)
         self.assertEqual((await self.fleet.ask(1, "tally", "safe", "r1")).body, b"b")
 
-    async def test_a_request_that_kills_endpoints_is_stopped_at_every_entry(self) -> None:
-        """A caller sends a request that crashes endpoints to one entry after the other. Were
-        each to learn it alone, it would cost two endpoints at every one."""
+    async def test_request_that_crashes_endpoints_is_blocked_at_every_entry(self) -> None:
+        """A caller sends a request that crashes endpoints to one entry after another. If entries
+        did not share what they learn, the request would crash two endpoints per entry."""
         second = await self.fleet.add_gateway("entry-2")
         await self.fleet.wait_until(lambda: second.ready)
         await self.fleet.wait_until(lambda: self.gateway.peers.count == 2, 6.0)
@@ -422,7 +426,7 @@
 class LeavingTest(GatewayCase):
     """A planned stop of an entry."""
 
-    async def test_what_is_in_progress_ends_whole_and_new_work_goes_elsewhere(self) -> None:
+    async def test_requests_in_progress_complete_during_stop(self) -> None:
         async def slow(endpoint, seen, writer) -> None:
             await asyncio.sleep(0.8)
             await answer_ok(endpoint, seen, writer)
@@ -437,9 +441,9 @@
         self.fleet.gateways.clear()
         await stopping
 
-    async def test_what_comes_after_the_balancers_notice_is_refused_as_not_run(self) -> None:
-        """Callers keep connections to an entry that is stopped, and send on them until it is
-        gone. Taken in its last seconds, a long answer would be cut in the middle."""
+    async def test_request_after_balancer_notice_is_refused_as_not_run(self) -> None:
+        """Callers keep connections open to an entry that is stopping, and send requests on them
+        until it exits. A long response accepted in its last seconds would be cut off."""
         stopping = asyncio.ensure_future(self.gateway.stop())
         await self.fleet.wait_until(lambda: not self.gateway.accepts_requests, 5.0)
         exchange = CallerExchange(self.gateway, None)
--- a/tests/gateway_traps_test.py
+++ b/tests/gateway_traps_test.py
@@ -1,4 +1,4 @@
-"""What endpoints, networks and clocks do to an entry without telling it."""
+"""Faults of endpoints, networks and clocks that an entry gets no error for."""
 
 import asyncio
 import unittest
@@ -14,25 +14,26 @@
 
 
 async def answer_misdirected(endpoint, seen, writer) -> None:
-    """Refuses what was meant for another instance."""
+    """Rejects a request that was meant for another instance, as not run."""
     head = f"HTTP/1.1 421 Misdirected\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0\r\n\r\n"
     writer.write(head.encode())
     await writer.drain()
 
 
 async def hold(endpoint, seen, writer) -> None:
-    """Takes a request and says nothing for ever, with the connection open."""
+    """Accepts a request and never responds, with the connection open."""
     await asyncio.sleep(3600)
 
 
 class AddressTest(GatewayCase):
-    """Addresses and ids that are used again."""
+    """Addresses and ids that are reused."""
 
-    async def test_a_charge_that_reaches_another_instance_runs_once_and_elsewhere(self) -> None:
-        """An endpoint is gone and its address belongs to another, and the entry has not heard
-        of it. Unless the request names whom it is for, the stranger would run the charge."""
+    async def test_charge_that_reaches_wrong_instance_runs_once_on_right_one(self) -> None:
+        """An endpoint has gone, its address now belongs to another instance, and the entry does not
+        know yet. Unless the request names the instance it is for, the wrong one would run the
+        charge."""
         self.a.behave = answer_misdirected
-        # At once, for of single requests chance may send none to the stranger.
+        # All at once: of requests sent one by one, none might be placed on the wrong instance.
         replies = await asyncio.gather(
             *(self.fleet.ask(0, "tally", "unsafe", f"r{n}") for n in range(12))
         )
@@ -42,9 +43,9 @@
         named = {seen.headers[names.EXPECT_INSTANCE.lower()] for seen in self.a.seen}
         self.assertEqual(named, {"a"})
 
-    async def test_an_endpoint_that_restarted_is_not_held_to_what_it_was_before(self) -> None:
-        """An endpoint fails, is taken out of service and restarts under the same id. Held to
-        its failures it would stand idle beside an endpoint that has too much to do."""
+    async def test_restarted_endpoint_starts_as_healthy(self) -> None:
+        """An endpoint fails, is taken out of service and restarts under the same id. If its earlier
+        failures still counted, it would stay idle while the other endpoint is overloaded."""
         self.a.behave = answer_misdirected
         await asyncio.gather(*(self.fleet.ask(0, "tally", "safe", f"r{n}") for n in range(12)))
         loads = self.gateway.placer._loads
@@ -57,9 +58,10 @@
         after = self.gateway.placer.load_of(listed.get("a"))
         self.assertEqual(after.health.health.value, "healthy")
 
-    async def test_an_older_registration_that_arrives_late_changes_nothing(self) -> None:
-        """Registrations of two runs of an endpoint cross on their way. Were the older believed,
-        the entry would name a run that is over, and every request would be refused."""
+    async def test_older_registration_that_arrives_late_is_ignored(self) -> None:
+        """Registrations of two runs of an endpoint arrive out of order. If the older one were
+        applied, the entry would address requests to a run that has ended, and all would be
+        refused."""
         await self.fleet.store.put(names.ENDPOINT_PREFIX + "a", self.a.entry(born=50))
         listed = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: listed.get("a").started_at == 50)
@@ -69,11 +71,12 @@
 
 
 class SilenceTest(GatewayCase):
-    """Connections that stay open and carry nothing."""
+    """Connections that stay open but carry no data."""
 
-    async def test_a_read_whose_answer_never_comes_ends_in_time_and_is_unknown(self) -> None:
-        """Both endpoints take a read and fall silent without closing. Nothing on the network
-        tells; the caller is answered when the route's time is over, and not "not run"."""
+    async def test_unanswered_request_times_out_with_unknown_outcome(self) -> None:
+        """Both endpoints accept a request and never respond, with the connection open. The network
+        reports no error; the caller gets a time-out at the end of the route's time limit, and is
+        not told that the request did not run."""
         self.set_both(hold)
         began = asyncio.get_running_loop().time()
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1")
@@ -81,9 +84,10 @@
         self.assertLess(asyncio.get_running_loop().time() - began, 2.0)
         self.assertNotIn("retry-after", reply.headers)
 
-    async def test_a_stream_that_falls_silent_midway_does_not_end_as_whole(self) -> None:
-        """An endpoint goes dark in the middle of a stream and its connection stays open. Ended
-        cleanly at the route's time, half an answer would pass for the whole."""
+    async def test_stream_that_stalls_midway_does_not_look_complete(self) -> None:
+        """An endpoint stops sending in the middle of a stream, with the connection open. If the
+        entry ended the stream cleanly at the route's time limit, the caller would take it for
+        complete."""
 
         async def stop_midway(endpoint, seen, writer) -> None:
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
@@ -97,9 +101,9 @@
         reply = await self.fleet.ask(0, "tally", "streaming", "r1")
         self.assertFalse(reply.whole)
 
-    async def test_a_store_that_hangs_on_an_open_connection_is_asked_again(self) -> None:
-        """The store's answer to a watch never comes and the connection stays open. The entry
-        must not wait for ever: it would miss every change from then on."""
+    async def test_watch_is_retried_when_store_hangs(self) -> None:
+        """The store never responds to a watch, with the connection open. Without a time-out the
+        entry would miss every later change."""
         self.fleet.store.fault = "hang"
         await asyncio.sleep(1.5)
         self.fleet.store.fault = ""
@@ -110,11 +114,12 @@
 
 
 class LossTest(GatewayCase):
-    """Links on which packets are lost: everything comes, in pieces and with pauses."""
+    """Links with packet loss: all data arrives, but in fragments and with pauses."""
 
-    async def test_an_answer_that_trickles_is_passed_on_whole(self) -> None:
-        """Every part of an answer is late and cut anywhere, as over a link that loses packets.
-        An entry that took a pause for an end would pass on half of it, or break it off."""
+    async def test_slow_fragmented_response_is_forwarded_complete(self) -> None:
+        """Every part of a response is delayed and split at arbitrary positions, as over a link that
+        loses packets. An entry that took a pause for the end would forward a truncated response or
+        abort it."""
 
         async def trickle(endpoint, seen, writer) -> None:
             endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
@@ -130,9 +135,9 @@
         self.assertEqual((reply.status, len(reply.body), reply.whole), (200, 40, True))
         self.assertEqual(self.runs("r1"), 1)
 
-    async def test_a_stream_whose_events_are_cut_anywhere_is_passed_on_whole(self) -> None:
-        """Packets are lost and sent again, and an event arrives in three parts. Its parts must
-        not be passed on as events, nor be lost when the stream goes on elsewhere."""
+    async def test_stream_of_split_events_is_forwarded_complete(self) -> None:
+        """Packets are retransmitted, and an event arrives in several fragments. A fragment must not
+        be forwarded as an event, nor be lost when the stream is resumed elsewhere."""
 
         async def split(endpoint, seen, writer) -> None:
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
@@ -153,12 +158,12 @@
 
 
 class ProbeTest(GatewayCase):
-    """An endpoint that is out of service, and the one request that tries it again."""
+    """An endpoint that is out of service, and the single request that probes it."""
 
-    async def test_a_probe_whose_caller_leaves_is_followed_by_another(self) -> None:
-        """An endpoint is out of service and one request is sent to find out whether it works
-        again. Its caller leaves before there is an answer. Were that probe waited for, no
-        other would ever be sent, and the endpoint would stand idle until it restarts."""
+    async def test_probe_whose_caller_disconnects_is_followed_by_another(self) -> None:
+        """An endpoint is out of service and one request is sent to probe it. Its caller disconnects
+        before there is a response. If the entry kept waiting for that probe, it would never send
+        another, and the endpoint would stay idle until it restarts."""
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "b")
         listed = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: listed.get("b") is None, 5.0)
@@ -183,13 +188,14 @@
 
 
 class SuspendedClockTest(GatewayCase):
-    """An instance that stood still and does not know."""
+    """An instance that was suspended and cannot tell from the event loop's clock."""
 
     tenants = True
 
-    async def test_after_a_suspension_no_key_passes_on_what_was_known_before(self) -> None:
-        """A virtual machine stands still for a minute, in which a key is taken away. By the
-        event loop's clock no time has passed, and the entry would believe what it knew."""
+    async def test_no_key_is_accepted_on_state_from_before_suspension(self) -> None:
+        """A virtual machine is suspended for a minute, during which a key may be revoked. By the
+        event loop's clock no time has passed, so an entry that used it would trust outdated
+        state."""
         self.assertEqual((await self.fleet.ask(0, "tally", "safe", "r0", KEY)).status, 200)
         self.fleet.store.fault = "hang"
         real = boot_clock.time.clock_gettime
@@ -203,9 +209,10 @@
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.runs("r1"), 0)
 
-    async def test_a_request_under_way_while_the_instance_stood_still_does_not_leave(self) -> None:
-        """The key is judged, the instance stands still while a connection opens, and the key is
-        taken away meanwhile. Sent on waking, the request would run with a dead key."""
+    async def test_request_in_progress_during_suspension_is_not_sent(self) -> None:
+        """An instance is suspended while a connection opens, after the key was checked, and the key
+        may be revoked in the meantime. If the request were sent after the resume, it would run with
+        a revoked key."""
         real = boot_clock.time.clock_gettime
         state = {"ahead": 0.0}
 
@@ -229,11 +236,11 @@
 
 
 class ResumeTest(GatewayCase):
-    """Streams over endpoints that restart."""
+    """Streams from endpoints that restart."""
 
-    async def test_a_stream_goes_on_where_its_endpoint_went_dark_under_it(self) -> None:
-        """An endpoint's process is killed under a stream. Its caller notices a pause and no
-        more: the rest comes from another endpoint, from the event after the last."""
+    async def test_stream_is_resumed_after_its_endpoint_is_killed(self) -> None:
+        """An endpoint's process is killed during a stream. The caller notices only a pause: the
+        rest comes from the other endpoint, starting after the last event sent."""
         self.set_both(stream_events(1, 8, cut_after=4))
         self.b.behave = stream_events(1, 8)
         for number in range(6):
