--- a/tests/listed_platform.py
+++ b/tests/listed_platform.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the platform's store and for its endpoints, in the test's own process.
+"""Fakes of the platform's store and of its endpoints, in the test's own process.
 
-They speak the platform's protocol over real sockets, and misbehave as tests ask them to.
+They speak the platform's protocol over real sockets, and inject the faults that a test sets.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 def free_ports(count: int) -> int:
-    """Returns the first of some ports in a row that nobody listens on."""
+    """Returns the first port of a range of consecutive ports that are free."""
     for _ in range(200):
         with socket.socket() as probe:
             probe.bind((HOST, 0))
@@ -34,18 +34,18 @@
         for server in held:
             server.close()
         return first
-    raise RuntimeError("no ports are free")
+    raise RuntimeError("found no range of consecutive free ports")
 
 
 class StoreHandler(web.RequestHandler):
-    """Answers ranges and watches."""
+    """Serves range reads and watches."""
 
     def initialize(self, store: "ListedStore") -> None:
-        """Takes the store from the route."""
+        """Receives the store from the route's arguments."""
         self.store = store
 
     async def get(self) -> None:
-        """Answers one call, or fails as the test asks."""
+        """Serves one call, or injects the fault that the test set."""
         store = self.store
         store.calls += 1
         if store.fault == "hang":
@@ -68,7 +68,7 @@
 
 
 class ListedStore:
-    """A store that tests write to."""
+    """An in-memory store that tests write to."""
 
     def __init__(self, page_size: int = 500) -> None:
         self.page_size = page_size
@@ -97,7 +97,7 @@
         self._server.stop()
 
     async def put(self, key: str, value: object) -> None:
-        """Writes an item; bytes as they are, anything else as JSON."""
+        """Writes an item: bytes as they are, anything else as JSON."""
         content = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         item = {"key": key, "revision": self.revision, "created": 1, "lease": 0}
@@ -112,7 +112,7 @@
         await self._tell({"key": key, "revision": self.revision, "deleted": True})
 
     def page(self, prefix: str, after: str) -> dict:
-        """Returns a page of a range."""
+        """Returns one page of a range read."""
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
         shown = keys[: self.page_size]
         return {
@@ -122,7 +122,7 @@
         }
 
     async def wait(self, prefix: str, after: int, seconds: float) -> list[dict]:
-        """Returns changes after a revision, or none after some seconds."""
+        """Returns the changes after a revision, or an empty list after a time-out."""
 
         def found() -> list[dict]:
             return [e for e in self.log if e["revision"] > after and e["key"].startswith(prefix)]
@@ -142,7 +142,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Seen:
-    """A request as an endpoint got it."""
+    """A request as an endpoint received it."""
 
     method: str
     target: str
@@ -151,11 +151,13 @@
 
 
 class FakeEndpoint:
-    """An endpoint whose answers a test writes by hand.
+    """An endpoint whose responses are written by the test.
 
     Attributes:
-      behave: Called with a request and the writer; what it writes is the whole answer.
-      runs: How often each request id began to run here.
+      behave: Called with the endpoint, a request and the writer; it writes the whole response.
+      seen: The requests that were received.
+      runs: How many times each request id started to run here.
+      closed_early: How many requests were cancelled by their sender before the response ended.
     """
 
     def __init__(self, endpoint_id: str, service: str, zone: str = "rift-a") -> None:
@@ -175,11 +177,11 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stops listening; connections that are open stay so."""
+        """Stops listening; open connections stay open."""
         self._server.close()
 
     def entry(self, **facts: object) -> dict:
-        """Returns what the endpoint registers of itself."""
+        """Returns the endpoint's registration, with some fields replaced."""
         return {
             "service": self.service,
             "address": f"{HOST}:{self.port}",
@@ -215,7 +217,7 @@
 
 
 def head_of(seen: Seen, endpoint: FakeEndpoint, status: str, *more: str) -> bytes:
-    """Returns an answer's head with the endpoint's signature."""
+    """Returns a response head with the endpoint's signature."""
     lines = [f"HTTP/1.1 {status}"]
     lines.append(f"{names.REQUEST_ID}: {seen.headers.get(names.REQUEST_ID.lower(), '')}")
     lines.append(f"{names.SIGNATURE}: {endpoint.id}")
@@ -223,7 +225,7 @@
 
 
 async def answer_ok(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Runs the request and answers with who ran it."""
+    """Runs the request and responds with the endpoint's id."""
     endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
     body = endpoint.id.encode()
     head = head_of(seen, endpoint, "200 OK", f"Content-Length: {len(body)}")
@@ -232,7 +234,7 @@
 
 
 async def refuse(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Refuses before it runs."""
+    """Refuses the request as not run."""
     writer.write(
         f"HTTP/1.1 503 Full\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0\r\n\r\n".encode()
     )
@@ -240,13 +242,13 @@
 
 
 async def run_and_reset(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Runs the request and loses its answer."""
+    """Runs the request and resets the connection before the response."""
     endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
     reset(writer)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Resets a connection."""
+    """Closes a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     linger = (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -254,10 +256,13 @@
 
 
 def stream_events(first: int, last: int, cut_after: int | None = None, half: bool = False):
-    """Returns a behaviour that streams events with ids, and may break off.
+    """Returns a behaviour that streams events with ids, and may reset the connection midway.
 
     Args:
-      half: Break off in the middle of the next event.
+      first: The number of the first event.
+      last: The number of the last event.
+      cut_after: The last event before the reset; None for a complete stream.
+      half: Reset in the middle of the next event.
     """
 
     async def behave(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -316,10 +321,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes:
-      whole: Whether the answer ended as its framing says.
+      whole: Whether the response is complete according to its framing.
     """
 
     status: int
@@ -342,7 +347,7 @@
         await self.store.start()
 
     async def stop(self) -> None:
-        """Ends everything."""
+        """Stops all entries, the endpoints and the store."""
         for gateway in self.gateways:
             for server in gateway._servers:
                 server.stop()
@@ -363,7 +368,7 @@
     async def add_gateway(
         self, name: str, store_port: int | None = None, bounds: Bounds | None = None
     ) -> Gateway:
-        """Starts an entry, whose store may be another port than the fleet's."""
+        """Starts an entry, which may use another store port than the fleet's."""
         first = free_ports(PORTS_OF_ONE)
         seeds = tuple(d.peers_listen for d in self.deployments)
         deployment = Deployment(
@@ -389,7 +394,7 @@
         return gateway
 
     async def wait_until(self, condition, seconds: float = 3.0) -> None:
-        """Waits for something to become true."""
+        """Waits until a condition holds."""
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -425,7 +430,7 @@
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Reads an answer as a careful caller does."""
+    """Reads a response, and checks that it is complete."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     status = int(lines[0].split(" ")[1])
--- a/tests/silent_endpoint_test.py
+++ b/tests/silent_endpoint_test.py
@@ -1,4 +1,4 @@
-"""Requests at an endpoint that stands still, and at one that is gone from the list."""
+"""Requests at an endpoint that is suspended, and at one whose registration is gone."""
 
 import asyncio
 import unittest
@@ -9,36 +9,36 @@
 from wasabidrum.platform import names
 
 EVENTS = 5
-# A caller leaves a stream that says nothing for two seconds.
-CALLERS_PATIENCE_SECONDS = 2.0
-# What callers here say that they will wait, less what timers are early by.
-CALLERS_DEADLINE_SECONDS = 2.9
-# Longer than an endpoint may say nothing before it is silent.
+# A caller gives up on a stream after two seconds without an event.
+STREAM_GAP_LIMIT_SECONDS = 2.0
+# The deadline that callers send here, less a tolerance for timers that fire early.
+CALLER_DEADLINE_SECONDS = 2.9
+# Longer than an endpoint may send nothing before it counts as silent.
 PAUSE_SECONDS = 0.9
 
 
 class TimedBehaviour:
-    """A behaviour that notes when each request came.
+    """A behaviour that records when each request arrived.
 
     Attributes:
-      came_at: When, by the request's id and the event loop's clock.
+      arrived_at: Arrival times by request id, on the event loop's clock.
     """
 
     def __init__(self, behave) -> None:
         self._behave = behave
-        self.came_at: dict[str, float] = {}
+        self.arrived_at: dict[str, float] = {}
 
     async def __call__(
         self, endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
     ) -> None:
-        """Notes it, then behaves."""
+        """Records the arrival time, then calls the wrapped behaviour."""
         loop = asyncio.get_running_loop()
-        self.came_at[seen.headers[names.REQUEST_ID.lower()]] = loop.time()
+        self.arrived_at[seen.headers[names.REQUEST_ID.lower()]] = loop.time()
         await self._behave(endpoint, seen, writer)
 
 
 async def stop_midway(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Streams two events, and then stands still with the connection open."""
+    """Streams two events, and then stalls with the connection open."""
     endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
     more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
     writer.write(head_of(seen, endpoint, "200 OK", *more))
@@ -50,7 +50,7 @@
 
 
 class SilentEndpointTest(VersionBoundCase):
-    """Two engines that hold the same weights, of which one stands still."""
+    """Two engines that hold the same weights, one of which stalls."""
 
     bounds = Bounds()
 
@@ -60,38 +60,39 @@
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new").weights == 1)
 
-    async def ask_while_one_stands_still(self, behave) -> list[Reply]:
-        """Asks both engines, of which one behaves as told; returns the answers.
+    async def ask_while_one_stalls(self, behave) -> list[Reply]:
+        """Sends requests to both engines, one with the given behaviour; returns the replies.
 
-        Whatever the first one stood still with must reach the other while its caller still waits.
+        Each request on which the first engine stalls must reach the other before its caller
+        gives up.
         """
         old, new = TimedBehaviour(behave), TimedBehaviour(self.new.behave)
         self.old.behave, self.new.behave = old, new
         replies = await asyncio.gather(*(self.ask(f"r{number}") for number in range(8)))
-        self.assertGreater(len(old.came_at), 0)
-        for request, came_at in old.came_at.items():
-            self.assertLess(new.came_at[request] - came_at, CALLERS_PATIENCE_SECONDS)
+        self.assertGreater(len(old.arrived_at), 0)
+        for request, arrived_at in old.arrived_at.items():
+            self.assertLess(new.arrived_at[request] - arrived_at, STREAM_GAP_LIMIT_SECONDS)
         return replies
 
-    async def test_what_an_engine_that_stands_still_has_not_begun_goes_elsewhere(self) -> None:
-        """An engine is suspended with requests of many callers. Its entry finds it silent and
-        sends it nothing more, and leaves there what it has: every caller waits until it gives
-        up, 3.2 s later, beside an engine that has room. What the engine had read it began on
-        waking, for callers that had left 2.1 s before."""
-        replies = await self.ask_while_one_stands_still(BeginsWhenWoken())
+    async def test_unstarted_requests_of_suspended_engine_are_retried_elsewhere(self) -> None:
+        """An engine is suspended with requests of many callers. If its entry found it silent and
+        only stopped sending it new requests, every caller would wait until it gave up after 3.2 s,
+        although another engine has room. On resuming, the engine would also start requests that it
+        had read, whose callers had disconnected 2.1 s before."""
+        replies = await self.ask_while_one_stalls(BeginsWhenWoken())
         self.assertEqual([reply.whole for reply in replies], [True] * len(replies))
 
-    async def test_a_stream_whose_engine_stands_still_goes_on_elsewhere(self) -> None:
-        """An engine is suspended in the middle of a stream and its connection stays open. Its
-        caller leaves after two seconds without an event, though another engine could have
-        gone on after the last one."""
-        replies = await self.ask_while_one_stands_still(stop_midway)
+    async def test_stream_of_suspended_engine_is_resumed_elsewhere(self) -> None:
+        """An engine is suspended in the middle of a stream, with the connection open. Its caller
+        would give up after two seconds without an event, although another engine can resume after
+        the last event."""
+        replies = await self.ask_while_one_stalls(stop_midway)
         whole = b"".join(f"id: {n}\ndata: t{n}\n\n".encode() for n in range(1, EVENTS + 1))
         self.assertEqual([reply.body for reply in replies], [whole] * len(replies))
 
-    async def test_where_nobody_else_can_take_it_a_request_waits_for_its_engine(self) -> None:
-        """The only engine is suspended for a moment. Cut off for its silence, a caller that
-        would have had its answer a second later has none."""
+    async def test_request_waits_for_its_engine_when_no_other_can_take_it(self) -> None:
+        """The only engine is suspended for a moment. If the entry aborted its requests for being
+        silent, a caller that would have had its response a second later would get an error."""
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "new")
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new") is None)
@@ -103,40 +104,41 @@
         reply = await asking
         self.assertTrue(reply.whole)
 
-    async def test_a_caller_whom_nobody_can_serve_is_answered_before_it_leaves(self) -> None:
-        """Guards against work that a suspended engine begins on waking for callers that left."""
+    async def test_caller_gets_error_within_deadline_when_no_engine_can_serve(self) -> None:
+        """Guards against a suspended engine that starts work on resuming, for callers that have
+        already disconnected."""
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "new")
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new") is None)
         self.old.behave = BeginsWhenWoken()
         began = asyncio.get_running_loop().time()
         reply = await self.ask("r1")
-        self.assertLess(asyncio.get_running_loop().time() - began, CALLERS_DEADLINE_SECONDS)
+        self.assertLess(asyncio.get_running_loop().time() - began, CALLER_DEADLINE_SECONDS)
         self.assertEqual((reply.status, reply.whole), (502, True))
         await self.fleet.wait_until(lambda: self.old.closed_early == 1)
 
-    async def test_what_may_run_only_once_is_not_taken_elsewhere(self) -> None:
-        """An endpoint stands still with a charge that it may have begun. Sent to another the
-        charge would run twice."""
+    async def test_request_that_is_not_idempotent_is_not_retried(self) -> None:
+        """An endpoint stalls with a charge that it may have started. Retried on another endpoint,
+        the charge would run twice."""
         self.old.behave = self.new.behave = stop_midway
         began = asyncio.get_running_loop().time()
         reply = await self.ask("r1", "unsafe")
-        self.assertGreater(asyncio.get_running_loop().time() - began, CALLERS_DEADLINE_SECONDS)
+        self.assertGreater(asyncio.get_running_loop().time() - began, CALLER_DEADLINE_SECONDS)
         self.assertEqual(self.old.runs["r1"] + self.new.runs["r1"], 1)
         self.assertNotEqual(reply.status, 503)
 
 
 class GoneEndpointTest(VersionBoundCase):
-    """An engine that is gone from the list with work that it has not begun."""
+    """An engine whose registration is gone while it has requests in progress."""
 
     bounds = Bounds(drain=2.0)
 
-    async def test_what_waits_at_an_engine_that_is_gone_does_not_begin_after_the_bound(
+    async def test_unstarted_request_of_removed_engine_is_recalled_within_drain_bound(
         self,
     ) -> None:
-        """An engine's registration lapses while it is suspended, and it counts as gone. A
-        request that was sent to it before lies unread on its connection. Woken, the engine
-        would begin it seconds after it was to get no more work."""
+        """An engine's registration expires while it is suspended, and it counts as gone. A request
+        sent to it earlier is unread on its connection. On resuming, the engine would start it,
+        seconds after the time from which it must get no more work."""
         engine = BeginsWhenWoken()
         self.old.behave = engine
         asking = self.ask("r1")
@@ -149,9 +151,10 @@
         reply = await asking
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 502))
 
-    async def test_what_it_has_begun_goes_on(self) -> None:
-        """An engine that never tells that it is leaving is gone from the list, and goes on
-        with what it has. Cut off, its callers would lose answers that were on their way."""
+    async def test_started_request_of_removed_engine_completes(self) -> None:
+        """An engine's registration disappears without a draining state before, while the engine
+        keeps working. If its requests were aborted, their callers would lose responses that were
+        already being sent."""
         self.old.behave = stream_slowly
         asking = self.ask("r1")
         await self.fleet.wait_until(lambda: bool(self.old.seen))
@@ -161,7 +164,7 @@
 
 
 async def stream_slowly(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Streams with pauses in which the endpoint passes for silent."""
+    """Streams with pauses long enough for the endpoint to count as silent."""
     more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
     writer.write(head_of(seen, endpoint, "200 OK", *more))
     for number in range(1, 4):
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -1,7 +1,7 @@
-"""The bound after which no request begins on weights that were replaced.
+"""The time bound after which no request may start on weights that were replaced.
 
-Engines answer with version 1; version 2 is named, and must be the only one that requests begin
-on two seconds later.
+Engines serve version 1; version 2 is named, and two seconds later requests may start on version 2
+only.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 MODEL = "m1"
 SERVICE = "text"
 BOUND_SECONDS = 2.0
-# After the bound by more than this process, which plays all parts, is late.
+# Exceeds the scheduling delay of this process, which runs entry, engines and callers.
 PAST_SECONDS = 0.4
 SUSPENDED_SECONDS = 60.0
 
 
 def make_engines_configuration() -> dict:
-    """Returns a configuration whose one service is of engines and whose routes wait long."""
+    """Returns a configuration with one engine service and routes with a long time limit."""
     configuration = make_configuration(7, SERVICE)
     for route in configuration["routes"]:
         route.update(timeoutMs=6000, targetLatencyMs=3000)
@@ -40,7 +40,7 @@
 
 
 class BeginsWhenWoken:
-    """An engine that takes requests and begins them only once it is woken."""
+    """A behaviour of an engine that accepts requests and starts them only once it is woken."""
 
     def __init__(self) -> None:
         self.woken = asyncio.Event()
@@ -55,7 +55,7 @@
 
 
 class VersionBoundCase(unittest.IsolatedAsyncioTestCase):
-    """One entry before an engine that holds version 1 and another that holds nothing yet."""
+    """One entry, an engine that holds version 1, and another without weights."""
 
     bounds = Bounds(version=BOUND_SECONDS)
 
@@ -77,18 +77,18 @@
         await self.fleet.stop()
 
     async def register(self, engine: FakeEndpoint, version: int) -> None:
-        """Has an engine register with a version of the weights."""
+        """Registers an engine with a version of the weights."""
         entry = engine.entry(models=[{"name": MODEL, "version": version}])
         await self.fleet.store.put(names.ENDPOINT_PREFIX + engine.id, entry)
 
     async def name_version(self, version: int) -> float:
-        """Names a version; returns when, by the event loop's clock."""
+        """Names a version and returns the time, by the event loop's clock."""
         value = {"model": MODEL, "version": version}
         await self.fleet.store.put(names.VERSION_PREFIX + MODEL, value)
         return asyncio.get_running_loop().time()
 
     async def name_and_hear(self, version: int) -> float:
-        """Names a version and waits until the entry knows; returns when it was named."""
+        """Names a version, waits until the entry knows it, and returns when it was named."""
         named_at = await self.name_version(version)
 
         def heard() -> bool:
@@ -98,21 +98,20 @@
         return named_at
 
     def ask(self, request_id: str, kind: str = "streaming") -> "asyncio.Future[Reply]":
-        """Sends a request, whose answer may take long."""
+        """Sends a request whose response may take long."""
         asking = self.fleet.ask(0, SERVICE, kind, request_id, seconds=8.0)
         return asyncio.ensure_future(asking)
 
 
 class LateBeginningTest(VersionBoundCase):
-    """Requests that were placed in time and would begin too late."""
-
-    async def test_an_engine_that_was_suspended_begins_nothing_overdue_on_waking(self) -> None:
-        """An engine is suspended with a request that it has not begun. Its entry had placed it
-        well before the bound, and found the engine silent, then gone from the list; the request
-        stayed on its connection. Woken after the bound the engine began it at once: the caller
-        got text from weights that operators had replaced. The lines that settled it: placed
-        5.45 s after the naming, read by the engine 8.36 s after it, begun at 8.39 s, with a
-        bound of 8 s."""
+    """Requests that were placed in time but would start too late."""
+
+    async def test_resumed_engine_starts_no_overdue_request(self) -> None:
+        """An engine is suspended with a request that it has not started. Its entry had placed it
+        well before the bound, then found the engine silent, and then removed; the request stayed on
+        its connection. Resumed after the bound, the engine started it at once, and the caller got
+        text from weights that operators had replaced. Times seen with a bound of 8 s: placed 5.45 s
+        after the naming, read by the engine 8.36 s after it, started at 8.39 s."""
         engine = BeginsWhenWoken()
         self.old.behave = engine
         named_at = await self.name_and_hear(2)
@@ -125,11 +124,11 @@
         self.assertEqual(self.old.runs["r1"], 0)
         self.assertEqual((reply.status, reply.whole, self.new.runs["r1"]), (200, True, 1))
 
-    async def test_what_waits_in_an_engines_queue_does_not_begin_after_the_bound(self) -> None:
-        """A request is placed just before an entry stops placing on the old version, and waits
-        in the engine's own queue for longer than the second that was left. No instance has
-        failed; the engine is full. No other engine has the new version yet, so that the caller
-        is told that nobody answered, and not that it has not run: the engine might have begun."""
+    async def test_request_in_engine_queue_does_not_start_after_bound(self) -> None:
+        """A request is placed just before an entry stops placing on the old version, and waits in
+        the engine's own queue for longer than the second that is left. No instance has failed; the
+        engine is full. No other engine has the new version yet, so the caller gets an error with
+        unknown outcome rather than "not run": the engine might have started it."""
         engine = BeginsWhenWoken()
         self.old.behave = engine
         named_at = await self.name_and_hear(2)
@@ -141,9 +140,9 @@
         reply = await asking
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 502))
 
-    async def test_what_has_begun_goes_on_past_the_bound(self) -> None:
-        """An engine streams an answer when the bound comes. It began in time; cut off, its
-        caller would lose what it has read, for no operator's good."""
+    async def test_started_request_completes_after_bound(self) -> None:
+        """An engine is streaming a response when the bound passes. The request started in time;
+        aborting it would lose what the caller has read, without benefit to operators."""
 
         async def slow(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
             original = writer.drain
@@ -162,14 +161,14 @@
         self.assertTrue(reply.whole)
         self.assertEqual((self.old.runs["r1"], self.new.runs["r1"]), (1, 0))
 
-    async def test_an_endpoint_that_gets_requests_late_gets_none_shortly_before_the_bound(
+    async def test_endpoint_behind_slow_link_gets_no_request_shortly_before_bound(
         self,
     ) -> None:
-        """An engine stands behind a narrow link that carries weights, and gets requests over a
-        second after they were sent. One that is placed there in time begins after the bound,
-        and the reset that recalls it comes behind it on the same link. The lines that settled
-        it: sent 0.15 s before nothing was placed any more, taken back 0.45 s before the bound,
-        read by the engine 1.0 s after it, begun, and cut 0.5 s later."""
+        """An engine is behind a narrow link that carries weights, and receives requests more than a
+        second after they were sent. A request placed there in time would start after the bound, and
+        the reset that recalls it arrives behind it on the same link. Times seen: sent 0.15 s before
+        placement ended, recalled 0.45 s before the bound, read by the engine 1.0 s after it,
+        started, and reset 0.5 s later."""
         engine = BeginsWhenWoken()
         self.old.behave = engine
         first = self.ask("r1")
@@ -186,14 +185,14 @@
 
 
 class SuspendedEntryTest(VersionBoundCase):
-    """Entries that were suspended, by a clock that does not count it."""
+    """Entries that were suspended, where the event loop's clock does not count that time."""
 
-    async def test_an_entry_suspended_after_the_naming_knows_that_the_bound_has_passed(
+    async def test_entry_suspended_after_naming_enforces_bound(
         self,
     ) -> None:
-        """An entry hears of a version and is suspended for a minute. The event loop's clock
-        has not moved, and by it the version before is good for seconds more; whoever asks on
-        waking gets text from weights that everyone else has stopped using."""
+        """An entry learns of a version and is suspended for a minute. The event loop's clock has
+        not advanced, and by it the previous version would be valid for seconds more; a caller right
+        after the resume would get text from weights that all other entries have stopped using."""
         real = boot_clock.time.clock_gettime
         await self.name_and_hear(2)
         with mock.patch.object(
@@ -202,9 +201,9 @@
             reply = await self.ask("r1")
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 503))
 
-    async def test_a_request_under_way_while_the_entry_was_suspended_does_not_leave(self) -> None:
-        """A request is placed in time, and its entry is suspended while a connection opens.
-        Sent on waking, it would begin at once, on weights whose time is over."""
+    async def test_request_in_progress_during_suspension_is_not_sent(self) -> None:
+        """A request is placed in time, and its entry is suspended while a connection opens. Sent
+        after the resume, it would start at once, on weights whose time has passed."""
         real = boot_clock.time.clock_gettime
         connect = endpoint_connection.connect
         ahead = [0.0]
@@ -226,15 +225,16 @@
 
 
 class LateHearingTest(VersionBoundCase):
-    """An entry that hears late how long ago a version was named."""
+    """An entry that learns late that a version was named."""
 
     bounds = Bounds(version=8.0)
 
-    async def test_a_version_that_is_heard_late_is_not_dated_by_its_hearing(self) -> None:
-        """An entry is suspended while a version is named and hears of it on waking, 4.5 s
-        late, with evidence 6.3 s old. Counted from its hearing, the version before would be
-        good until 11.5 s after the naming, with a bound of 8 s. It was named after the last
-        answer without it, and that is all that the entry can know."""
+    async def test_bound_is_counted_from_last_response_without_the_version(self) -> None:
+        """An entry is suspended while a version is named and learns of it on resuming, 4.5 s late,
+        when its last response from the store is 6.3 s old. Counted from then, the previous version
+        would be valid until 11.5 s after the naming, with a bound of 8 s. All that the entry can
+        know is that the version was named after the last response without it, so it counts from
+        that response."""
         real = boot_clock.time.clock_gettime
         with mock.patch.object(
             boot_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
