--- a/tests/busy_entry_test.py
+++ b/tests/busy_entry_test.py
@@ -14,7 +14,14 @@
 from tornado import iostream
 
 from tests.gateway_test import GatewayCase
-from tests.listed_platform import HOST, Reply, Seen, make_configuration, read_reply, refuse
+from tests.listed_platform import (
+    HOST,
+    ReceivedRequest,
+    Reply,
+    make_configuration,
+    read_reply,
+    refuse,
+)
 from wasabidrum.core.request_head import RequestHead
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import heads, names
@@ -113,10 +120,10 @@
         async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
             return await read_reply(reader)
 
-    def seen(self, request_id: str) -> list[Seen]:
+    def received(self, request_id: str) -> list[ReceivedRequest]:
         """Returns the copies of a request that endpoints received."""
-        all_seen = self.a.seen + self.b.seen
-        return [s for s in all_seen if s.headers[names.REQUEST_ID.lower()] == request_id]
+        all_received = self.a.received + self.b.received
+        return [s for s in all_received if s.headers[names.REQUEST_ID.lower()] == request_id]
 
 
 class CallerDisconnectTest(BusyEntryCase):
@@ -154,7 +161,7 @@
             await self.fleet.ask(0, "tally", "nothing", "last")
             await asyncio.sleep(0.1)
         self.assertEqual(connect.await_count, 0)
-        self.assertEqual(self.seen("r1"), [])
+        self.assertEqual(self.received("r1"), [])
 
     async def move_endpoints_to(self, port: int) -> None:
         """Registers both endpoints at another port, and waits until the entry has applied it."""
@@ -188,7 +195,7 @@
             self.send(leaver, "unsafe", "r1")
             await self.fleet.wait_until(lambda: leaver.fileno() < 0)
             await asyncio.sleep(0.1)
-        self.assertEqual(self.seen("r1"), [])
+        self.assertEqual(self.received("r1"), [])
 
     async def test_refused_request_is_not_retried_after_caller_disconnects(self) -> None:
         """An engine refuses a request in the event loop iteration in which its caller disconnects.
@@ -196,15 +203,15 @@
         nobody."""
         leaver = self.connect()
 
-        async def refuse_as_caller_leaves(endpoint, seen, writer) -> None:
-            await refuse(endpoint, seen, writer)
+        async def refuse_as_caller_leaves(endpoint, request, writer) -> None:
+            await refuse(endpoint, request, writer)
             leaver.close()
 
         self.set_both(refuse_as_caller_leaves)
         self.send(leaver, "unsafe", "r1")
         await self.fleet.wait_until(lambda: leaver.fileno() < 0)
         await asyncio.sleep(0.1)
-        self.assertEqual(len(self.seen("r1")), 1)
+        self.assertEqual(len(self.received("r1")), 1)
 
 
 class UnreadTimeTest(BusyEntryCase):
@@ -227,7 +234,7 @@
         caller = self.connect()
         self.send(caller, "safe", "r1")
         self.assertEqual((await self.read_reply_on(caller)).status, 200)
-        told = int(self.seen("r1")[0].headers[names.DEADLINE.lower()])
+        told = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
         self.assertLessEqual(told, DEADLINE_MS - 1000 * BURST_SECONDS)
 
     async def test_request_that_expired_unread_is_refused(self) -> None:
@@ -238,7 +245,7 @@
         caller = self.connect()
         self.send(caller, "unsafe", "r1", deadline=300)
         reply = await self.read_reply_on(caller)
-        self.assertEqual((reply.status, self.seen("r1")), (503, []))
+        self.assertEqual((reply.status, self.received("r1")), (503, []))
         self.assertIn(b"deadline_passed", reply.body)
 
     async def test_early_connection_does_not_reduce_request_deadline(self) -> None:
@@ -249,7 +256,7 @@
         await self.fleet.ask(0, "tally", "nothing", "last")
         self.send(caller, "safe", "r1")
         self.assertEqual((await self.read_reply_on(caller)).status, 200)
-        told = int(self.seen("r1")[0].headers[names.DEADLINE.lower()])
+        told = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
         self.assertGreater(told, DEADLINE_MS - 1000 * BURST_SECONDS / 2)
 
 
--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -42,9 +42,9 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.stop()
 
-    def set_both(self, behave) -> None:
-        """Sets the same behaviour for both endpoints."""
-        self.a.behave = self.b.behave = behave
+    def set_both(self, handler) -> None:
+        """Sets the same handler for both endpoints."""
+        self.a.handler = self.b.handler = handler
 
     def runs(self, request_id: str) -> int:
         """Returns how many times a request ran on either endpoint."""
@@ -56,34 +56,34 @@
 
     async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1", "X-Own: 1", body=b"charge")
-        seen = (self.a.seen + self.b.seen)[0]
+        request = (self.a.received + self.b.received)[0]
         self.assertEqual(
-            (seen.method, seen.target, seen.body), ("POST", "/unsafe/a?b=c", b"charge")
+            (request.method, request.target, request.body), ("POST", "/unsafe/a?b=c", b"charge")
         )
-        self.assertEqual(seen.headers["x-own"], "1")
+        self.assertEqual(request.headers["x-own"], "1")
         self.assertEqual(reply.status, 200)
         self.assertEqual(reply.headers[names.SIGNATURE.lower()], reply.body.decode())
 
     async def test_expected_instance_and_remaining_time_are_sent_to_endpoint(self) -> None:
         await self.fleet.ask(0, "tally", "safe", "r1")
-        endpoint = self.a if self.a.seen else self.b
-        seen = endpoint.seen[0]
-        self.assertEqual(seen.headers[names.EXPECT_INSTANCE.lower()], endpoint.id)
-        self.assertLessEqual(int(seen.headers[names.DEADLINE.lower()]), 1500)
+        endpoint = self.a if self.a.received else self.b
+        request = endpoint.received[0]
+        self.assertEqual(request.headers[names.EXPECT_INSTANCE.lower()], endpoint.id)
+        self.assertLessEqual(int(request.headers[names.DEADLINE.lower()]), 1500)
 
     async def test_workspace_header_from_caller_is_not_forwarded(self) -> None:
         """A caller forges the header that tells an endpoint which workspace's key was presented. If
         the entry forwarded it, the request would be billed to any workspace the caller chose."""
         forged = f"{names.TENANT}: somebody"
         await self.fleet.ask(0, "tally", "safe", "r1", forged, KEY)
-        seen = (self.a.seen + self.b.seen)[0]
-        self.assertNotIn(names.TENANT.lower(), seen.headers)
-        self.assertNotIn(names.AUTHORIZATION.lower(), seen.headers)
+        request = (self.a.received + self.b.received)[0]
+        self.assertNotIn(names.TENANT.lower(), request.headers)
+        self.assertNotIn(names.AUTHORIZATION.lower(), request.headers)
 
     async def test_unknown_path_is_not_found_and_reaches_no_endpoint(self) -> None:
         reply = await self.fleet.ask(0, "tally", "nothing", "r1")
         self.assertEqual(reply.status, 404)
-        self.assertEqual(self.a.seen + self.b.seen, [])
+        self.assertEqual(self.a.received + self.b.received, [])
 
     async def test_too_large_body_is_refused(self) -> None:
         reply = await self.fleet.ask(0, "tally", "safe", "r1", body=b"x" * 100_001)
@@ -105,7 +105,7 @@
         self.assertEqual(self.runs("r1"), 1)
 
     async def test_refused_charge_is_retried_on_other_endpoint(self) -> None:
-        self.a.behave = refuse
+        self.a.handler = refuse
         for number in range(6):
             reply = await self.fleet.ask(0, "tally", "unsafe", f"r{number}")
             self.assertEqual((reply.status, reply.body), (200, b"b"))
@@ -119,7 +119,7 @@
         self.assertNotIn(names.SIGNATURE.lower(), reply.headers)
 
     async def test_read_is_retried_on_other_endpoint_after_reset(self) -> None:
-        self.a.behave = run_and_reset
+        self.a.handler = run_and_reset
         for number in range(4):
             reply = await self.fleet.ask(0, "tally", "safe", f"r{number}")
             self.assertEqual((reply.status, reply.body), (200, b"b"))
@@ -136,10 +136,10 @@
         """A faulty endpoint responds with the id of another request. If the response were
         forwarded, a caller would read another caller's balance."""
 
-        async def crossed(endpoint, seen, writer) -> None:
-            other = seen.headers | {names.REQUEST_ID.lower(): "another"}
-            seen.headers = other
-            await answer_ok(endpoint, seen, writer)
+        async def crossed(endpoint, request, writer) -> None:
+            other = request.headers | {names.REQUEST_ID.lower(): "another"}
+            request.headers = other
+            await answer_ok(endpoint, request, writer)
 
         self.set_both(crossed)
         reply = await self.fleet.ask(0, "tally", "unsafe", "r1")
@@ -147,7 +147,7 @@
         self.assertNotIn(names.SIGNATURE.lower(), reply.headers)
 
     async def test_success_without_signature_is_not_forwarded(self) -> None:
-        async def unsigned(endpoint, seen, writer) -> None:
+        async def unsigned(endpoint, request, writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             await writer.drain()
 
@@ -159,7 +159,7 @@
         """An endpoint declares a content length and closes its connection before sending all of it.
         The caller must not take a truncated balance for a complete one."""
 
-        async def short(endpoint, seen, writer) -> None:
+        async def short(endpoint, request, writer) -> None:
             body = f"HTTP/1.1 200 OK\r\n{names.SIGNATURE}: a\r\nContent-Length: 9\r\n\r\nhalf"
             writer.write(body.encode())
             await writer.drain()
@@ -172,7 +172,7 @@
         """A response without a length ends when its connection closes. A truncated one differs from
         a complete one only in that the connection was reset."""
 
-        async def unframed(endpoint, seen, writer) -> None:
+        async def unframed(endpoint, request, writer) -> None:
 
             writer.write(f"HTTP/1.1 200 OK\r\n{names.SIGNATURE}: a\r\n\r\nhalf".encode())
             await writer.drain()
@@ -184,8 +184,8 @@
         self.assertEqual(reply.status, 502)
 
     async def test_unsolicited_second_response_is_discarded(self) -> None:
-        async def twice(endpoint, seen, writer) -> None:
-            await answer_ok(endpoint, seen, writer)
+        async def twice(endpoint, request, writer) -> None:
+            await answer_ok(endpoint, request, writer)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
             await writer.drain()
 
@@ -195,7 +195,7 @@
             self.assertIn(reply.body, (b"a", b"b"))
 
     async def test_unanswered_request_ends_at_route_timeout(self) -> None:
-        async def hang(endpoint, seen, writer) -> None:
+        async def hang(endpoint, request, writer) -> None:
             await asyncio.sleep(60)
 
         self.set_both(hang)
@@ -208,28 +208,28 @@
         """An endpoint accepts requests and never responds, although it is registered as ready.
         Without detection, every request sent there would wait until its time-out."""
 
-        async def hang(endpoint, seen, writer) -> None:
+        async def hang(endpoint, request, writer) -> None:
             await asyncio.sleep(3600)
 
-        self.a.behave = hang
+        self.a.handler = hang
         waiting = [
             asyncio.ensure_future(self.fleet.ask(0, "tally", "safe", f"w{n}")) for n in range(6)
         ]
         await asyncio.sleep(0.9)
-        before = len(self.a.seen)
+        before = len(self.a.received)
         self.assertGreater(before, 0)
         later = [
             asyncio.ensure_future(self.fleet.ask(0, "tally", "safe", f"r{n}")) for n in range(10)
         ]
         await asyncio.gather(*later, *waiting)
         # One request may be sent as a probe, to find out whether the endpoint responds again.
-        self.assertLessEqual(len(self.a.seen) - before, 1)
+        self.assertLessEqual(len(self.a.received) - before, 1)
 
     async def test_request_is_cancelled_when_its_caller_disconnects(self) -> None:
         """A caller closes its connection. Unless its request is cancelled, the endpoint keeps
         working on a response that nobody reads, while other requests wait for its slots."""
 
-        async def hang(endpoint, seen, writer) -> None:
+        async def hang(endpoint, request, writer) -> None:
             await asyncio.sleep(60)
 
         self.set_both(hang)
@@ -292,13 +292,13 @@
     async def test_interrupted_stream_is_resumed_on_other_endpoint(self) -> None:
         """An endpoint crashes in the middle of an event. The other endpoint resumes after the last
         complete event, and the caller reads one stream without gaps or duplicates."""
-        self.set_both(stream_events(1, 9, cut_after=4, half=True))
+        self.set_both(stream_events(1, 9, cut_after=4, cut_mid_event=True))
         whole = stream_events(1, 9)
 
-        async def go_on(endpoint, seen, writer) -> None:
-            resumed = names.LAST_EVENT_ID.lower() in seen.headers
-            cut = stream_events(1, 9, cut_after=4, half=True)
-            await (whole if resumed else cut)(endpoint, seen, writer)
+        async def go_on(endpoint, request, writer) -> None:
+            resumed = names.LAST_EVENT_ID.lower() in request.headers
+            cut = stream_events(1, 9, cut_after=4, cut_mid_event=True)
+            await (whole if resumed else cut)(endpoint, request, writer)
 
         self.set_both(go_on)
         reply = await self.fleet.ask(0, "tally", "streaming", "r1")
@@ -327,7 +327,7 @@
         await self.fleet.wait_until(lambda: self.gateway.state.endpoints.get("a").leaving)
         for number in range(6):
             await self.fleet.ask(0, "tally", "safe", f"r{number}")
-        self.assertEqual(self.a.seen, [])
+        self.assertEqual(self.a.received, [])
 
     async def test_malformed_registrations_are_ignored(self) -> None:
         """Another writer puts registrations into the store that lack fields or have fields of the
@@ -363,10 +363,10 @@
 
     async def test_known_key_is_replaced_by_its_workspace(self) -> None:
         reply = await self.fleet.ask(0, "tally", "safe", "r1", KEY)
-        seen = (self.a.seen + self.b.seen)[0]
+        request = (self.a.received + self.b.received)[0]
         self.assertEqual(reply.status, 200)
-        self.assertEqual(seen.headers[names.TENANT.lower()], "till")
-        self.assertNotIn(names.AUTHORIZATION.lower(), seen.headers)
+        self.assertEqual(request.headers[names.TENANT.lower()], "till")
+        self.assertNotIn(names.AUTHORIZATION.lower(), request.headers)
 
     async def test_unknown_key_is_refused(self) -> None:
         bad = f"{names.AUTHORIZATION}: Bearer nobody"
@@ -427,9 +427,9 @@
     """A planned stop of an entry."""
 
     async def test_requests_in_progress_complete_during_stop(self) -> None:
-        async def slow(endpoint, seen, writer) -> None:
+        async def slow(endpoint, request, writer) -> None:
             await asyncio.sleep(0.8)
-            await answer_ok(endpoint, seen, writer)
+            await answer_ok(endpoint, request, writer)
 
         self.set_both(slow)
         asking = asyncio.ensure_future(self.fleet.ask(0, "tally", "unsafe", "r1"))
@@ -453,6 +453,6 @@
         self.assertEqual(
             (caught.exception.code, caught.exception.http_status), ("entry_leaving", 503)
         )
-        self.assertEqual(self.a.seen + self.b.seen, [])
+        self.assertEqual(self.a.received + self.b.received, [])
         self.fleet.gateways.clear()
         await stopping
--- a/tests/gateway_traps_test.py
+++ b/tests/gateway_traps_test.py
@@ -5,22 +5,22 @@
 from unittest import mock
 
 from tests.gateway_test import KEY, GatewayCase
-from tests.listed_platform import answer_ok, head_of, make_configuration, stream_events
+from tests.listed_platform import answer_ok, make_configuration, response_head, stream_events
 from wasabidrum.core import boot_clock
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import names
 
-LATER_SECONDS = 60.0
+SUSPENDED_SECONDS = 60.0
 
 
-async def answer_misdirected(endpoint, seen, writer) -> None:
+async def answer_misdirected(endpoint, request, writer) -> None:
     """Rejects a request that was meant for another instance, as not run."""
     head = f"HTTP/1.1 421 Misdirected\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0\r\n\r\n"
     writer.write(head.encode())
     await writer.drain()
 
 
-async def hold(endpoint, seen, writer) -> None:
+async def hold(endpoint, request, writer) -> None:
     """Accepts a request and never responds, with the connection open."""
     await asyncio.sleep(3600)
 
@@ -32,7 +32,7 @@
         """An endpoint has gone, its address now belongs to another instance, and the entry does not
         know yet. Unless the request names the instance it is for, the wrong one would run the
         charge."""
-        self.a.behave = answer_misdirected
+        self.a.handler = answer_misdirected
         # All at once: of requests sent one by one, none might be placed on the wrong instance.
         replies = await asyncio.gather(
             *(self.fleet.ask(0, "tally", "unsafe", f"r{n}") for n in range(12))
@@ -40,18 +40,18 @@
         for number, reply in enumerate(replies):
             self.assertEqual((reply.status, reply.body), (200, b"b"))
             self.assertEqual(self.runs(f"r{number}"), 1)
-        named = {seen.headers[names.EXPECT_INSTANCE.lower()] for seen in self.a.seen}
+        named = {request.headers[names.EXPECT_INSTANCE.lower()] for request in self.a.received}
         self.assertEqual(named, {"a"})
 
     async def test_restarted_endpoint_starts_as_healthy(self) -> None:
         """An endpoint fails, is taken out of service and restarts under the same id. If its earlier
         failures still counted, it would stay idle while the other endpoint is overloaded."""
-        self.a.behave = answer_misdirected
+        self.a.handler = answer_misdirected
         await asyncio.gather(*(self.fleet.ask(0, "tally", "safe", f"r{n}") for n in range(12)))
         loads = self.gateway.placer._loads
         before = next(load for (name, _), load in loads.items() if name == "a")
         self.assertNotEqual(before.health.health.value, "healthy")
-        self.a.behave = answer_ok
+        self.a.handler = answer_ok
         await self.fleet.store.put(names.ENDPOINT_PREFIX + "a", self.a.entry(born=99))
         listed = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: listed.get("a").started_at == 99)
@@ -89,10 +89,10 @@
         entry ended the stream cleanly at the route's time limit, the caller would take it for
         complete."""
 
-        async def stop_midway(endpoint, seen, writer) -> None:
+        async def stop_midway(endpoint, request, writer) -> None:
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
             event = b"id: 1\ndata: t1\n\n"
-            writer.write(head_of(seen, endpoint, "200 OK", *more))
+            writer.write(response_head(request, endpoint, "200 OK", *more))
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
             await asyncio.sleep(3600)
@@ -121,10 +121,10 @@
         loses packets. An entry that took a pause for the end would forward a truncated response or
         abort it."""
 
-        async def trickle(endpoint, seen, writer) -> None:
-            endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+        async def trickle(endpoint, request, writer) -> None:
+            endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
             body = endpoint.id.encode() * 40
-            head = head_of(seen, endpoint, "200 OK", f"Content-Length: {len(body)}")
+            head = response_head(request, endpoint, "200 OK", f"Content-Length: {len(body)}")
             for start in range(0, len(head + body), 11):
                 writer.write((head + body)[start : start + 11])
                 await writer.drain()
@@ -139,9 +139,9 @@
         """Packets are retransmitted, and an event arrives in several fragments. A fragment must not
         be forwarded as an event, nor be lost when the stream is resumed elsewhere."""
 
-        async def split(endpoint, seen, writer) -> None:
+        async def split(endpoint, request, writer) -> None:
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-            writer.write(head_of(seen, endpoint, "200 OK", *more))
+            writer.write(response_head(request, endpoint, "200 OK", *more))
             content = b"".join(b"id: %d\ndata: t%d\n\n" % (n, n) for n in range(1, 6))
             for start in range(0, len(content), 7):
                 part = content[start : start + 7]
@@ -167,20 +167,20 @@
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "b")
         listed = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: listed.get("b") is None, 5.0)
-        self.a.behave = answer_misdirected
+        self.a.handler = answer_misdirected
         for number in range(2):
             await self.fleet.ask(0, "tally", "safe", f"r{number}")
         health = self.gateway.placer.load_of(listed.get("a")).health
         self.assertNotEqual(health.health.value, "healthy")
-        self.a.behave = hold
+        self.a.handler = hold
         loop = asyncio.get_running_loop()
         await self.fleet.wait_until(lambda: health.may_receive(loop.time()))
-        before = len(self.a.seen)
+        before = len(self.a.received)
         probe = asyncio.ensure_future(self.fleet.ask(0, "tally", "safe", "probe"))
-        await self.fleet.wait_until(lambda: len(self.a.seen) > before)
+        await self.fleet.wait_until(lambda: len(self.a.received) > before)
         probe.cancel()
         await asyncio.gather(probe, return_exceptions=True)
-        self.a.behave = answer_ok
+        self.a.handler = answer_ok
         await self.fleet.wait_until(lambda: health.may_receive(loop.time()), 5.0)
         reply = await self.fleet.ask(0, "tally", "safe", "r9")
         self.assertEqual(reply.status, 200)
@@ -201,7 +201,7 @@
         real = boot_clock.time.clock_gettime
 
         def later(clock: int) -> float:
-            return real(clock) + LATER_SECONDS
+            return real(clock) + SUSPENDED_SECONDS
 
         with mock.patch.object(boot_clock.time, "clock_gettime", later):
             self.assertFalse(self.gateway.ready)
@@ -223,7 +223,7 @@
 
         async def connect_and_sleep(*arguments):
             connection = await connect(*arguments)
-            state["ahead"] = LATER_SECONDS
+            state["ahead"] = SUSPENDED_SECONDS
             return connection
 
         with (
@@ -242,7 +242,7 @@
         """An endpoint's process is killed during a stream. The caller notices only a pause: the
         rest comes from the other endpoint, starting after the last event sent."""
         self.set_both(stream_events(1, 8, cut_after=4))
-        self.b.behave = stream_events(1, 8)
+        self.b.handler = stream_events(1, 8)
         for number in range(6):
             reply = await self.fleet.ask(0, "tally", "streaming", f"r{number}")
             self.assertTrue(reply.whole)
--- a/tests/listed_engines.py
+++ b/tests/listed_engines.py
@@ -52,12 +52,12 @@
             )
             return
         number = int(self.get_query_argument("num"))
-        if origin.refuses_pieces or number >= origin.pieces_known:
+        if origin.refuses_pieces or number >= origin.pieces_available:
             self.set_status(503)
             return
         content = make_piece(version, number)
         origin.sent += len(content)
-        self.write(bytes(len(content)) if origin.next_is_spoilt() else content)
+        self.write(bytes(len(content)) if origin.next_is_corrupt() else content)
 
 
 class FakeOrigin:
@@ -68,10 +68,10 @@
         self.down = False
         self.refuses_pieces = False
         # Pieces with this number or a higher one are refused.
-        self.pieces_known = PIECES
+        self.pieces_available = PIECES
         self.sent = 0
         self.lists = 0
-        self.spoil_every = 0
+        self.corrupt_every = 0
         self.port = 0
         self._count = 0
         self._server: httpserver.HTTPServer | None = None
@@ -81,10 +81,10 @@
         """The bytes sent, in copies of a version."""
         return self.sent / (PIECES * PIECE_BYTES)
 
-    def next_is_spoilt(self) -> bool:
+    def next_is_corrupt(self) -> bool:
         """Returns whether the next piece is sent with wrong bytes."""
         self._count += 1
-        return bool(self.spoil_every) and self._count % self.spoil_every == 0
+        return bool(self.corrupt_every) and self._count % self.corrupt_every == 0
 
     def start(self) -> None:
         """Listens."""
@@ -118,7 +118,7 @@
 
     def put(self) -> None:
         """Stores a piece in the staging area."""
-        self.engine.take_piece(int(self.get_query_argument("num")), self.request.body)
+        self.engine.stage_piece(int(self.get_query_argument("num")), self.request.body)
 
     def post(self) -> None:
         """Executes a load order."""
@@ -133,7 +133,7 @@
     Attributes:
       wrong_loads: Loads in which a piece was missing, corrupt or of another version.
       layers: The layers that it holds of its version.
-      rot_after: The put after which the piece just staged is corrupted; 0 for none.
+      corrupt_after: The put after which the piece just staged is corrupted; 0 for none.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -144,12 +144,12 @@
         self.staged: dict[int, bytes] = {}
         self.wrong_loads = 0
         self.orders = 0
-        self.rot_after = 0
+        self.corrupt_after = 0
         self.state = "ready"
         self._puts = 0
         self._server: httpserver.HTTPServer | None = None
 
-    def begin_with(self, version: int) -> None:
+    def set_version(self, version: int) -> None:
         """Sets the version that the engine serves, and stages its pieces."""
         self.version = version
         self.staged = {number: make_piece(version, number) for number in range(PIECES)}
@@ -178,23 +178,23 @@
             "queued": 0,
         }
 
-    def take_piece(self, number: int, content: bytes) -> None:
+    def stage_piece(self, number: int, content: bytes) -> None:
         """Stores a piece, replacing one of the same number."""
         self.staged[number] = content
         self._puts += 1
-        if self._puts == self.rot_after:
+        if self._puts == self.corrupt_after:
             self.staged[number] = bytes(len(content))
 
     def start(self, version: int, layers: range) -> bool:
         """Loads some layers from the staging area."""
         self.orders += 1
         of_layer = PIECES // LAYERS
-        right = all(
+        correct = all(
             self.staged.get(number) == make_piece(version, number)
             for number in range(layers.start * of_layer, layers.stop * of_layer)
         )
         self.layers = layers
-        self.wrong_loads += not right
+        self.wrong_loads += not correct
         self.version = version
         return True
 
@@ -272,7 +272,7 @@
         host = f"127.0.0.{10 + len(self.engines)}"
         engine = FakeStagingEngine(host, self.first_port + PORTS_OF_ONE - 1)
         if version:
-            engine.begin_with(version)
+            engine.set_version(version)
         engine.listen()
         self.engines.append(engine)
         await self.register(engine)
--- a/tests/listed_platform.py
+++ b/tests/listed_platform.py
@@ -141,7 +141,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
+class ReceivedRequest:
     """A request as an endpoint received it."""
 
     method: str
@@ -154,8 +154,8 @@
     """An endpoint whose responses are written by the test.
 
     Attributes:
-      behave: Called with the endpoint, a request and the writer; it writes the whole response.
-      seen: The requests that were received.
+      handler: Called with the endpoint, a request and the writer; it writes the whole response.
+      received: The requests that were received.
       runs: How many times each request id started to run here.
       closed_early: How many requests were cancelled by their sender before the response ended.
     """
@@ -165,8 +165,8 @@
         self.service = service
         self.zone = zone
         self.port = 0
-        self.behave = answer_ok
-        self.seen: list[Seen] = []
+        self.handler = answer_ok
+        self.received: list[ReceivedRequest] = []
         self.runs: collections.Counter[str] = collections.Counter()
         self.closed_early = 0
         self._server: asyncio.Server | None = None
@@ -201,9 +201,9 @@
             pairs = (line.split(": ", 1) for line in lines[1:] if line)
             headers = {name.lower(): value for name, value in pairs}
             body = await reader.readexactly(int(headers.get("content-length", "0")))
-            seen = Seen(method, target, headers, body)
-            self.seen.append(seen)
-            working = asyncio.ensure_future(self.behave(self, seen, writer))
+            request = ReceivedRequest(method, target, headers, body)
+            self.received.append(request)
+            working = asyncio.ensure_future(self.handler(self, request, writer))
             leaving = asyncio.ensure_future(reader.read(1))
             await asyncio.wait((working, leaving), return_when=asyncio.FIRST_COMPLETED)
             if not working.done():
@@ -216,24 +216,30 @@
             writer.close()
 
 
-def head_of(seen: Seen, endpoint: FakeEndpoint, status: str, *more: str) -> bytes:
+def response_head(
+    request: ReceivedRequest, endpoint: FakeEndpoint, status: str, *more: str
+) -> bytes:
     """Returns a response head with the endpoint's signature."""
     lines = [f"HTTP/1.1 {status}"]
-    lines.append(f"{names.REQUEST_ID}: {seen.headers.get(names.REQUEST_ID.lower(), '')}")
+    lines.append(f"{names.REQUEST_ID}: {request.headers.get(names.REQUEST_ID.lower(), '')}")
     lines.append(f"{names.SIGNATURE}: {endpoint.id}")
     return "\r\n".join([*lines, *more, "", ""]).encode()
 
 
-async def answer_ok(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Runs the request and responds with the endpoint's id."""
-    endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+    endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
     body = endpoint.id.encode()
-    head = head_of(seen, endpoint, "200 OK", f"Content-Length: {len(body)}")
+    head = response_head(request, endpoint, "200 OK", f"Content-Length: {len(body)}")
     writer.write(head + body)
     await writer.drain()
 
 
-async def refuse(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def refuse(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Refuses the request as not run."""
     writer.write(
         f"HTTP/1.1 503 Full\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0\r\n\r\n".encode()
@@ -241,9 +247,11 @@
     await writer.drain()
 
 
-async def run_and_reset(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def run_and_reset(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Runs the request and resets the connection before the response."""
-    endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+    endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
     reset(writer)
 
 
@@ -255,25 +263,27 @@
     writer.transport.abort()
 
 
-def stream_events(first: int, last: int, cut_after: int | None = None, half: bool = False):
-    """Returns a behaviour that streams events with ids, and may reset the connection midway.
+def stream_events(first: int, last: int, cut_after: int | None = None, cut_mid_event: bool = False):
+    """Returns a handler that streams events with ids, and may reset the connection midway.
 
     Args:
       first: The number of the first event.
       last: The number of the last event.
       cut_after: The last event before the reset; None for a complete stream.
-      half: Reset in the middle of the next event.
+      cut_mid_event: Reset in the middle of the next event.
     """
 
-    async def behave(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
-        after = int(seen.headers.get(names.LAST_EVENT_ID.lower(), first - 1))
+    async def handler(
+        endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
+        endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
+        after = int(request.headers.get(names.LAST_EVENT_ID.lower(), first - 1))
         more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-        writer.write(head_of(seen, endpoint, "200 OK", *more))
+        writer.write(response_head(request, endpoint, "200 OK", *more))
         for number in range(after + 1, last + 1):
             event = f"id: {number}\ndata: t{number}\n\n".encode()
             if cut_after is not None and number > cut_after:
-                if half:
+                if cut_mid_event:
                     part = event[: len(event) // 2]
                     writer.write(b"%x\r\n%s\r\n" % (len(part), part))
                     await writer.drain()
@@ -286,7 +296,7 @@
         writer.write(b"0\r\n\r\n")
         await writer.drain()
 
-    return behave
+    return handler
 
 
 def make_configuration(version: int, *services: str, tenants: bool = False) -> dict:
--- a/tests/listed_weights_test.py
+++ b/tests/listed_weights_test.py
@@ -114,12 +114,12 @@
         """A piece is corrupted after it was put into an engine's staging area. The engine would
         load it unchecked, and serve from corrupt weights."""
         for engine in self.fleet.engines:
-            engine.rot_after = 5
+            engine.corrupt_after = 5
         await self.fleet.name_version(2)
         await self.wait_for(2)
 
     async def test_corrupt_pieces_from_origin_are_rejected(self) -> None:
-        self.fleet.origin.spoil_every = 4
+        self.fleet.origin.corrupt_every = 4
         await self.fleet.name_version(2)
         await self.wait_for(2)
 
--- a/tests/recall_race_test.py
+++ b/tests/recall_race_test.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from tests.listed_platform import FakeEndpoint, Seen, head_of, reset
+from tests.listed_platform import FakeEndpoint, ReceivedRequest, reset, response_head
 from tests.version_bound_test import VersionBoundCase
 from wasabidrum.config.deployment import Bounds
 from wasabidrum.gateway import published_state
@@ -29,18 +29,18 @@
         begin_at = asyncio.get_running_loop().create_future()
 
         async def begin_and_be_busy(
-            endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
+            endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             moment = await begin_at
             await asyncio.sleep(moment - asyncio.get_running_loop().time())
-            endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+            endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
             event = b"id: 1\ndata: t1\n\n"
-            content = head_of(seen, endpoint, "200 OK", *more)
+            content = response_head(request, endpoint, "200 OK", *more)
             writer.write(content + b"%x\r\n%s\r\n0\r\n\r\n" % (len(event), event))
             time.sleep(BUSY_SECONDS)
 
-        self.old.behave = begin_and_be_busy
+        self.old.handler = begin_and_be_busy
         named_at = await self.name_and_hear(2)
         begin_at.set_result(named_at + IN_TIME_SECONDS)
         reply = await self.ask("r1")
@@ -59,7 +59,9 @@
         from then on, and callers would get text from replaced weights."""
         crash_at = asyncio.get_running_loop().create_future()
 
-        async def crash(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def crash(
+            endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             moment = await crash_at
             await asyncio.sleep(moment - asyncio.get_running_loop().time())
             reset(writer)
@@ -69,7 +71,7 @@
 
         failed = []
         self.gateway.tasks._on_failure = lambda name, error: failed.append((name, repr(error)))
-        self.old.behave = crash
+        self.old.handler = crash
         named_at = await self.name_and_hear(2)
         crash_at.set_result(named_at + IN_TIME_SECONDS)
         reply = await self.ask("r1")
@@ -86,14 +88,14 @@
         the work would be lost."""
 
         async def run_for_a_second(
-            endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
+            endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+            endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
             await asyncio.sleep(1.2)
-            writer.write(head_of(seen, endpoint, "200 OK", "Content-Length: 2") + b"ok")
+            writer.write(response_head(request, endpoint, "200 OK", "Content-Length: 2") + b"ok")
             await writer.drain()
 
-        self.old.behave = run_for_a_second
+        self.old.handler = run_for_a_second
         named_at = await self.name_and_hear(2)
         await asyncio.sleep(named_at + 0.8 - asyncio.get_running_loop().time())
         reply = await self.ask("r1", "unsafe")
--- a/tests/recall_together_test.py
+++ b/tests/recall_together_test.py
@@ -3,11 +3,11 @@
 import asyncio
 import unittest
 
-from tests.listed_platform import FakeEndpoint, Reply, Seen, head_of, stream_events
+from tests.listed_platform import FakeEndpoint, ReceivedRequest, Reply, response_head, stream_events
 from tests.version_bound_test import (
     MODEL,
     SERVICE,
-    BeginsWhenWoken,
+    StartsWhenWoken,
     VersionBoundCase,
     make_engines_configuration,
 )
@@ -24,13 +24,13 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.engine = BeginsWhenWoken()
-        self.old.behave = self.engine
+        self.engine = StartsWhenWoken()
+        self.old.handler = self.engine
 
     async def hold(self) -> "list[asyncio.Future[Reply]]":
         """Sends requests to the only engine, which does not start them yet."""
         asking = [self.ask(f"r{number}") for number in range(HELD)]
-        await self.fleet.wait_until(lambda: len(self.old.seen) == HELD)
+        await self.fleet.wait_until(lambda: len(self.old.received) == HELD)
         return asking
 
     async def register_other(self) -> None:
@@ -80,10 +80,10 @@
         if all were recalled at once, the later ones would find it full, and their callers would get
         errors, although their responses would have come a second later."""
         asking = await self.hold()
-        self.new.behave = stream_for_long
+        self.new.handler = stream_for_long
         await self.register_other()
         busy = [self.ask(f"busy{number}") for number in range(2)]
-        await self.fleet.wait_until(lambda: len(self.new.seen) == 2)
+        await self.fleet.wait_until(lambda: len(self.new.received) == 2)
         self.assertEqual(await self.wake_and_read(asking), [200] * HELD)
         for request in busy:
             request.cancel()
@@ -102,25 +102,27 @@
         would be spent, and a healthy engine would lose its share of traffic."""
 
         async def read_and_stream(
-            endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
+            endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             await asyncio.sleep(SILENT_SECONDS)
-            await stream_events(1, 5)(endpoint, seen, writer)
+            await stream_events(1, 5)(endpoint, request, writer)
 
-        self.old.behave = self.new.behave = read_and_stream
+        self.old.handler = self.new.handler = read_and_stream
         await self.register(self.new, 1)
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new").weights == 1)
         usage = f"{names.TOKEN_USAGE}: 20000,20"
         reply = await self.fleet.ask(0, SERVICE, "streaming", "r1", usage, seconds=8.0)
         self.assertTrue(reply.whole)
-        self.assertEqual(len(self.old.seen) + len(self.new.seen), 1)
+        self.assertEqual(len(self.old.received) + len(self.new.received), 1)
 
 
-async def stream_for_long(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def stream_for_long(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Streams an event every 0.1 s, for longer than a test runs."""
     more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-    writer.write(head_of(seen, endpoint, "200 OK", *more))
+    writer.write(response_head(request, endpoint, "200 OK", *more))
     for number in range(1, 100):
         event = f"id: {number}\ndata: t{number}\n\n".encode()
         writer.write(b"%x\r\n%s\r\n" % (len(event), event))
--- a/tests/silent_endpoint_test.py
+++ b/tests/silent_endpoint_test.py
@@ -3,8 +3,8 @@
 import asyncio
 import unittest
 
-from tests.listed_platform import FakeEndpoint, Reply, Seen, head_of
-from tests.version_bound_test import BeginsWhenWoken, VersionBoundCase
+from tests.listed_platform import FakeEndpoint, ReceivedRequest, Reply, response_head
+from tests.version_bound_test import StartsWhenWoken, VersionBoundCase
 from wasabidrum.config.deployment import Bounds
 from wasabidrum.platform import names
 
@@ -17,31 +17,33 @@
 PAUSE_SECONDS = 0.9
 
 
-class TimedBehaviour:
-    """A behaviour that records when each request arrived.
+class TimedHandler:
+    """A handler that records when each request arrived.
 
     Attributes:
       arrived_at: Arrival times by request id, on the event loop's clock.
     """
 
-    def __init__(self, behave) -> None:
-        self._behave = behave
+    def __init__(self, handler) -> None:
+        self._handler = handler
         self.arrived_at: dict[str, float] = {}
 
     async def __call__(
-        self, endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
+        self, endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """Records the arrival time, then calls the wrapped behaviour."""
+        """Records the arrival time, then calls the wrapped handler."""
         loop = asyncio.get_running_loop()
-        self.arrived_at[seen.headers[names.REQUEST_ID.lower()]] = loop.time()
-        await self._behave(endpoint, seen, writer)
+        self.arrived_at[request.headers[names.REQUEST_ID.lower()]] = loop.time()
+        await self._handler(endpoint, request, writer)
 
 
-async def stop_midway(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def stop_midway(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Streams two events, and then stalls with the connection open."""
-    endpoint.runs[seen.headers[names.REQUEST_ID.lower()]] += 1
+    endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
     more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-    writer.write(head_of(seen, endpoint, "200 OK", *more))
+    writer.write(response_head(request, endpoint, "200 OK", *more))
     for number in (1, 2):
         event = f"id: {number}\ndata: t{number}\n\n".encode()
         writer.write(b"%x\r\n%s\r\n" % (len(event), event))
@@ -60,14 +62,14 @@
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new").weights == 1)
 
-    async def ask_while_one_stalls(self, behave) -> list[Reply]:
-        """Sends requests to both engines, one with the given behaviour; returns the replies.
+    async def ask_while_one_stalls(self, handler) -> list[Reply]:
+        """Sends requests to both engines, one with the given handler; returns the replies.
 
         Each request on which the first engine stalls must reach the other before its caller
         gives up.
         """
-        old, new = TimedBehaviour(behave), TimedBehaviour(self.new.behave)
-        self.old.behave, self.new.behave = old, new
+        old, new = TimedHandler(handler), TimedHandler(self.new.handler)
+        self.old.handler, self.new.handler = old, new
         replies = await asyncio.gather(*(self.ask(f"r{number}") for number in range(8)))
         self.assertGreater(len(old.arrived_at), 0)
         for request, arrived_at in old.arrived_at.items():
@@ -79,7 +81,7 @@
         only stopped sending it new requests, every caller would wait until it gave up after 3.2 s,
         although another engine has room. On resuming, the engine would also start requests that it
         had read, whose callers had disconnected 2.1 s before."""
-        replies = await self.ask_while_one_stalls(BeginsWhenWoken())
+        replies = await self.ask_while_one_stalls(StartsWhenWoken())
         self.assertEqual([reply.whole for reply in replies], [True] * len(replies))
 
     async def test_stream_of_suspended_engine_is_resumed_elsewhere(self) -> None:
@@ -96,8 +98,8 @@
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "new")
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new") is None)
-        engine = BeginsWhenWoken()
-        self.old.behave = engine
+        engine = StartsWhenWoken()
+        self.old.handler = engine
         asking = self.ask("r1")
         await asyncio.sleep(1.5)
         engine.woken.set()
@@ -110,7 +112,7 @@
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "new")
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("new") is None)
-        self.old.behave = BeginsWhenWoken()
+        self.old.handler = StartsWhenWoken()
         began = asyncio.get_running_loop().time()
         reply = await self.ask("r1")
         self.assertLess(asyncio.get_running_loop().time() - began, CALLER_DEADLINE_SECONDS)
@@ -120,7 +122,7 @@
     async def test_request_that_is_not_idempotent_is_not_retried(self) -> None:
         """An endpoint stalls with a charge that it may have started. Retried on another endpoint,
         the charge would run twice."""
-        self.old.behave = self.new.behave = stop_midway
+        self.old.handler = self.new.handler = stop_midway
         began = asyncio.get_running_loop().time()
         reply = await self.ask("r1", "unsafe")
         self.assertGreater(asyncio.get_running_loop().time() - began, CALLER_DEADLINE_SECONDS)
@@ -139,10 +141,10 @@
         """An engine's registration expires while it is suspended, and it counts as gone. A request
         sent to it earlier is unread on its connection. On resuming, the engine would start it,
         seconds after the time from which it must get no more work."""
-        engine = BeginsWhenWoken()
-        self.old.behave = engine
+        engine = StartsWhenWoken()
+        self.old.handler = engine
         asking = self.ask("r1")
-        await self.fleet.wait_until(lambda: bool(self.old.seen))
+        await self.fleet.wait_until(lambda: bool(self.old.received))
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "old")
         endpoints = self.gateway.state.endpoints
         await self.fleet.wait_until(lambda: endpoints.get("old") is None)
@@ -155,18 +157,20 @@
         """An engine's registration disappears without a draining state before, while the engine
         keeps working. If its requests were aborted, their callers would lose responses that were
         already being sent."""
-        self.old.behave = stream_slowly
+        self.old.handler = stream_slowly
         asking = self.ask("r1")
-        await self.fleet.wait_until(lambda: bool(self.old.seen))
+        await self.fleet.wait_until(lambda: bool(self.old.received))
         await self.fleet.store.delete(names.ENDPOINT_PREFIX + "old")
         reply = await asking
         self.assertTrue(reply.whole)
 
 
-async def stream_slowly(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def stream_slowly(
+    endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Streams with pauses long enough for the endpoint to count as silent."""
     more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-    writer.write(head_of(seen, endpoint, "200 OK", *more))
+    writer.write(response_head(request, endpoint, "200 OK", *more))
     for number in range(1, 4):
         event = f"id: {number}\ndata: t{number}\n\n".encode()
         writer.write(b"%x\r\n%s\r\n" % (len(event), event))
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -11,8 +11,8 @@
 from tests.listed_platform import (
     FakeEndpoint,
     ListedFleet,
+    ReceivedRequest,
     Reply,
-    Seen,
     make_configuration,
     stream_events,
 )
@@ -39,19 +39,19 @@
     return configuration
 
 
-class BeginsWhenWoken:
-    """A behaviour of an engine that accepts requests and starts them only once it is woken."""
+class StartsWhenWoken:
+    """A handler of an engine that accepts requests and starts them only once it is woken."""
 
     def __init__(self) -> None:
         self.woken = asyncio.Event()
         self._stream = stream_events(1, 5)
 
     async def __call__(
-        self, endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter
+        self, endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Waits, then streams."""
         await self.woken.wait()
-        await self._stream(endpoint, seen, writer)
+        await self._stream(endpoint, request, writer)
 
 
 class VersionBoundCase(unittest.IsolatedAsyncioTestCase):
@@ -65,7 +65,7 @@
         await self.fleet.store.put(names.CONFIGURATION_KEY, make_engines_configuration())
         self.old = await self.fleet.add_endpoint("old", SERVICE)
         self.new = await self.fleet.add_endpoint("new", SERVICE)
-        self.old.behave = self.new.behave = stream_events(1, 5)
+        self.old.handler = self.new.handler = stream_events(1, 5)
         await self.register(self.old, 1)
         await self.name_version(1)
         self.gateway = await self.fleet.add_gateway("entry-1", bounds=self.bounds)
@@ -113,11 +113,11 @@
         once, and the caller got text from weights that operators had replaced. Times seen with a
         bound of 8 s: placed 5.45 s after the naming, read by the engine 8.36 s after it, started at
         8.39 s."""
-        engine = BeginsWhenWoken()
-        self.old.behave = engine
+        engine = StartsWhenWoken()
+        self.old.handler = engine
         named_at = await self.name_and_hear(2)
         asking = self.ask("r1")
-        await self.fleet.wait_until(lambda: bool(self.old.seen))
+        await self.fleet.wait_until(lambda: bool(self.old.received))
         await self.register(self.new, 2)
         await self.sleep_until(named_at + BOUND_SECONDS + PAST_SECONDS)
         engine.woken.set()
@@ -130,13 +130,13 @@
         the engine's own queue for longer than the second that is left. No instance has failed; the
         engine is full. No other engine has the new version yet, so the caller gets an error with
         unknown outcome rather than "not run": the engine might have started it."""
-        engine = BeginsWhenWoken()
-        self.old.behave = engine
+        engine = StartsWhenWoken()
+        self.old.handler = engine
         named_at = await self.name_and_hear(2)
         await self.sleep_until(named_at + 0.8)
         asking = self.ask("r1")
         await self.sleep_until(named_at + BOUND_SECONDS + PAST_SECONDS)
-        self.assertEqual(len(self.old.seen), 1)
+        self.assertEqual(len(self.old.received), 1)
         engine.woken.set()
         reply = await asking
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 502))
@@ -145,7 +145,9 @@
         """An engine is streaming a response when the bound passes. The request started in time;
         aborting it would lose what the caller has read, without benefit to operators."""
 
-        async def slow(endpoint: FakeEndpoint, seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def slow(
+            endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             original = writer.drain
 
             async def drain() -> None:
@@ -153,9 +155,9 @@
                 await asyncio.sleep(0.5)
 
             with mock.patch.object(writer, "drain", drain):
-                await stream_events(1, 5)(endpoint, seen, writer)
+                await stream_events(1, 5)(endpoint, request, writer)
 
-        self.old.behave = slow
+        self.old.handler = slow
         await self.name_and_hear(2)
         await self.register(self.new, 2)
         reply = await self.ask("r1")
@@ -170,14 +172,14 @@
         the reset that recalls it arrives behind it on the same link. Times seen: sent 0.15 s before
         placement ended, recalled 0.45 s before the bound, read by the engine 1.0 s after it,
         started, and reset 0.5 s later."""
-        engine = BeginsWhenWoken()
-        self.old.behave = engine
+        engine = StartsWhenWoken()
+        self.old.handler = engine
         first = self.ask("r1")
         await asyncio.sleep(1.2)
         named_at = await self.name_and_hear(2)
         await self.sleep_until(named_at + 0.4)
         reply = await self.ask("r2")
-        self.assertEqual((len(self.old.seen), reply.status), (1, 503))
+        self.assertEqual((len(self.old.received), reply.status), (1, 503))
         first.cancel()
 
     async def sleep_until(self, moment: float) -> None:
--- a/tests/weights_retirement_test.py
+++ b/tests/weights_retirement_test.py
@@ -32,17 +32,17 @@
 
     async def test_engine_serves_nothing_on_old_weights_after_bound(self) -> None:
         """Guards against requests that reach an engine after the bound and start on old weights."""
-        self.fleet.origin.pieces_known = PIECES // 2
+        self.fleet.origin.pieces_available = PIECES // 2
         await self.fleet.name_version(2)
         await self.wait_until(lambda: self.engine.version == 2, BOUND_SECONDS)
         self.assertLess(len(self.engine.layers), LAYERS)
-        self.fleet.origin.pieces_known = PIECES
+        self.fleet.origin.pieces_available = PIECES
         await self.wait_until(lambda: len(self.engine.layers) == LAYERS, 8.0)
         self.assertEqual(self.engine.wrong_loads, 0)
 
     async def test_old_weights_stay_in_service_while_entries_may_place_on_them(self) -> None:
         """Guards against an engine that is taken out of service before the bound."""
-        self.fleet.origin.pieces_known = PIECES // 2
+        self.fleet.origin.pieces_available = PIECES // 2
         await self.fleet.name_version(2)
         await asyncio.sleep(BOUND_SECONDS - 1.5)
         self.assertEqual(self.engine.version, 1)
