--- a/tests/choice_replay.py
+++ b/tests/choice_replay.py
@@ -1,4 +1,4 @@
-"""A model of callers, entries and engines, by which placement is judged without a network."""
+"""A simulation of callers, entries and engines that evaluates placement without a network."""
 
 import dataclasses
 import heapq
@@ -34,13 +34,13 @@
 REPORT_SECONDS = 0.15
 LAG_SECONDS = 0.2
 DATA_CENTRES = 3
-# Callers are not spread evenly over data centres.
-TRAFFIC = (1.07, 0.81, 1.12)
+# Relative traffic by data centre: callers are not spread evenly.
+TRAFFIC_WEIGHTS = (1.07, 0.81, 1.12)
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A request of the replayed load."""
+    """A request of the simulated load."""
 
     arrived: float
     prompt: int
@@ -52,7 +52,7 @@
 
 
 class FakeEngine:
-    """Works in passes, by the published figures."""
+    """A simulated engine that runs in passes, with the times of the published figures."""
 
     def __init__(self, pace: float = 1.0) -> None:
         self.pace = pace
@@ -60,18 +60,18 @@
         self.running: list[list] = []
         self.ended: list[Job] = []
         self.free_at = 0.0
-        self._accounts: list[tuple[float, int, int]] = []
+        self._reports: list[tuple[float, int, int]] = []
 
-    def account(self, now: float) -> tuple[int, int]:
-        """Returns how many ran and waited a little earlier, as engines report it."""
-        self._accounts.append((now, len(self.running), len(self.waiting)))
-        while len(self._accounts) > 1 and self._accounts[1][0] <= now - LAG_SECONDS:
-            self._accounts.pop(0)
-        return self._accounts[0][1:]
+    def lagged_report(self, now: float) -> tuple[int, int]:
+        """Returns how many requests ran and waited some time ago, as engines' reports lag."""
+        self._reports.append((now, len(self.running), len(self.waiting)))
+        while len(self._reports) > 1 and self._reports[1][0] <= now - LAG_SECONDS:
+            self._reports.pop(0)
+        return self._reports[0][1:]
 
     @property
     def requests(self) -> int:
-        """How many run or wait."""
+        """The number of requests that run or wait."""
         return len(self.waiting) + len(self.running)
 
     def run_pass(self, now: float) -> float:
@@ -97,19 +97,19 @@
 
 
 class FakeEntry:
-    """What one entry knows, and where it sends to first."""
+    """The state of one entry: loads of endpoints, and the endpoints that it prefers."""
 
     def __init__(self, number: int, entries: int, endpoints: list[ListedEndpoint], share: bool):
         rng = random.Random(number)
-        places = min(DATA_CENTRES, entries)
-        self.data_centre = str(number % places)
-        self.weight = TRAFFIC[number % places]
+        data_centres = min(DATA_CENTRES, entries)
+        self.data_centre = str(number % data_centres)
+        self.weight = TRAFFIC_WEIGHTS[number % data_centres]
         self.loads = {endpoint.id: EndpointLoad(rng) for endpoint in endpoints}
         self.rate = RequestRate()
         self.bias = ForecastBias()
         self._endpoints = endpoints
         self._others = entries - 1
-        peer_entries = [("entry", n) for n in range(number % places, entries, places)]
+        peer_entries = [("entry", n) for n in range(number % data_centres, entries, data_centres)]
         near = [e.id for e in endpoints if e.data_centre == self.data_centre]
         self._first = (
             assign_endpoints(near, peer_entries, ("entry", number))
@@ -118,20 +118,20 @@
         )
 
     def candidates(self) -> list[Candidate]:
-        """Returns every endpoint."""
+        """Returns every endpoint as a candidate."""
         return [
             Candidate(e, self.loads[e.id], e.data_centre == self.data_centre, e.id in self._first)
             for e in self._endpoints
         ]
 
     def demand(self, prompt: int, latest: float, now: float) -> Demand:
-        """Returns what a request asks here."""
+        """Returns the demand of a request at this entry."""
         rate = self.rate.per_second(now) * self._others / len(self._endpoints)
         return Demand(prompt, latest, False, rate, self.bias.corrections(now))
 
 
 class Replay:
-    """Callers at a rate before entries that see reports a third of a second old."""
+    """Simulates callers at a given rate, and entries whose reports are a third of a second old."""
 
     def __init__(
         self, engines: list[FakeEngine], entries: int, latest: float, share: bool = True
@@ -150,12 +150,12 @@
         ]
         self._events: list[tuple[float, int, str, int]] = []
         self._order = iter(range(10**9))
-        self._places: dict[int, int] = {}
-        self._told: set[int] = set()
+        self._placements: dict[int, int] = {}
+        self._first_event_recorded: set[int] = set()
         self.jobs: list[Job] = []
 
     def play(self, rate: float, seconds: float = 20.0) -> list[Job]:
-        """Returns the jobs that arrived after a first five seconds."""
+        """Runs the simulation and returns the jobs that arrived after the first five seconds."""
         when = 0.0
         while when < seconds:
             when += self._rng.expovariate(rate)
@@ -175,7 +175,7 @@
 
     def _report(self, now: float, number: int) -> None:
         engine = self._engines[number]
-        running, waiting = engine.account(now)
+        running, waiting = engine.lagged_report(now)
         for entry in self.entries:
             load = entry.loads[self._endpoints[number].id]
             load.record_report(running, waiting, engine.pace, now, LAG_SECONDS)
@@ -197,7 +197,7 @@
         choice.candidate.load.record_placed(prompt, now)
         entry.rate.record(now)
         place = self._endpoints.index(choice.candidate.endpoint)
-        self._places[id(job)] = place
+        self._placements[id(job)] = place
         engine = self._engines[place]
         engine.waiting.append(job)
         if engine.free_at <= now:
@@ -207,7 +207,7 @@
     def _run_pass(self, now: float, number: int) -> None:
         engine = self._engines[number]
         for job in [item[0] for item in engine.running] + engine.ended:
-            self._tell_first_event(job, number, now)
+            self._record_first_event(job, number, now)
         for job in engine.ended:
             self._load(job, number).record_ended(job.prompt, True)
         engine.ended = []
@@ -215,10 +215,10 @@
             engine.free_at = engine.run_pass(now)
             self._at(engine.free_at, "pass", number)
 
-    def _tell_first_event(self, job: Job, number: int, now: float) -> None:
-        if id(job) in self._told:
+    def _record_first_event(self, job: Job, number: int, now: float) -> None:
+        if id(job) in self._first_event_recorded:
             return
-        self._told.add(id(job))
+        self._first_event_recorded.add(id(job))
         self._load(job, number).record_first_event(job.prompt, now)
         self.entries[job.entry].bias.record(job.forecast, now - job.arrived, now)
 
@@ -233,14 +233,14 @@
     entries: int = 3,
     share: bool = True,
 ) -> list[Job]:
-    """Plays callers at a rate; see Replay."""
+    """Simulates callers at a given rate; see Replay."""
     if isinstance(engines, int):
         engines = [FakeEngine() for _ in range(engines)]
     return Replay(engines, entries, latest, share).play(rate)
 
 
 def on_time(jobs: list[Job]) -> float:
-    """Returns how many requests a second had their first event in time."""
+    """Returns how many requests a second got their first event within the target time."""
     good = [
         job
         for job in jobs
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -1,6 +1,6 @@
-"""Fakes at the entry's interfaces, for tests whose clock jumps: engines, tables, callers.
+"""Fakes of engines, endpoint tables and callers, for tests of an entry on a simulated clock.
 
-The decisions under test are the real ones; only processes and network are missing.
+The decisions under test are the real ones; only processes and the network are replaced.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 def run_with_paused_clock(work) -> object:
-    """Runs a coroutine on a loop whose time jumps to the next timer."""
+    """Runs a coroutine on an event loop whose clock jumps to the next timer."""
     loop = looptime.new_event_loop(start=1000.0, noop_cycles=0)
     try:
         return loop.run_until_complete(work)
@@ -40,7 +40,7 @@
 
 
 class FakeEngine:
-    """Slots, a queue before them, decode time, and what is wrong with it."""
+    """A simulated engine: slots, a queue, a decode time per token, and injected faults."""
 
     def __init__(self, name: str, slots: int, token_seconds: float) -> None:
         self.name = name
@@ -62,7 +62,7 @@
         self._sequence = 0
 
     def status(self) -> Status:
-        """What the sidecar beside it would say."""
+        """Returns the status that the engine's sidecar would report."""
         self._sequence += 1
         now = asyncio.get_running_loop().time()
         return Status(
@@ -77,7 +77,7 @@
         )
 
     async def run(self, prompt: str, tokens: int, priority: int, progressed) -> None:
-        """Runs one request, and calls back with each token."""
+        """Runs one request, and calls progressed for each token."""
         self.attempts += 1
         if self.refusing:
             raise CodedError("engine_refused", "refused", 503)
@@ -119,20 +119,20 @@
     async def _take_slot(self, priority: int) -> None:
         if len(self.running) < self.slots:
             return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.waiters, (priority, next(self._order), turn))
-        await turn
+        slot_free = asyncio.get_running_loop().create_future()
+        heapq.heappush(self.waiters, (priority, next(self._order), slot_free))
+        await slot_free
 
     def _free_slot(self) -> None:
         while self.waiters and len(self.running) < self.slots:
-            _, _, turn = heapq.heappop(self.waiters)
-            if not turn.done():
-                turn.set_result(None)
+            _, _, slot_free = heapq.heappop(self.waiters)
+            if not slot_free.done():
+                slot_free.set_result(None)
                 return
 
 
 class FakeTable:
-    """What one entry knows of the engines, renewed now and then or never."""
+    """The endpoint table of one entry, updated only when a test delivers reports."""
 
     def __init__(self, engines: list[FakeEngine], data_centres: dict[str, str]) -> None:
         self.views = [
@@ -158,27 +158,28 @@
     async def wait_until_heard(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
     ) -> bool:
-        """See EndpointTable; engines that are not heard are not heard again."""
+        """See EndpointTable; never waits, as no further report would arrive."""
         return False
 
     def record_status(self, status: Status) -> None:
         """See EndpointTable."""
 
-    def hear(self, lag: float = 0.0, lost: bool = False) -> None:
-        """Has each engine report, some time ago, unless the reports are lost."""
+    def deliver_reports(self, lag: float = 0.0, lost: bool = False) -> None:
+        """Delivers a report of each engine after a lag; if reports are lost, only an engine's
+        first."""
         loop = asyncio.get_running_loop()
         for view, engine in zip(self.views, self.engines, strict=True):
             if view.status is None or not lost:
-                loop.call_later(lag, self._take, view, engine.status())
+                loop.call_later(lag, self._apply, view, engine.status())
 
-    def _take(self, view: EndpointView, status: Status) -> None:
+    def _apply(self, view: EndpointView, status: Status) -> None:
         view.status = status
         view.heard_at = asyncio.get_running_loop().time()
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What one caller received."""
+    """The response that one caller received, and when."""
 
     workspace: str
     became: str
@@ -189,7 +190,7 @@
 
 
 class FakeFollower:
-    """A configuration with some shares, and some limits in tokens a second."""
+    """A configuration with shares and rate limits (tokens a second) of workspaces."""
 
     def __init__(self, shares: dict[str, float], limits: dict[str, float]) -> None:
         spaces = {
@@ -202,7 +203,7 @@
 
 
 class FakeFleet:
-    """Engines, and entries with real decisions before them."""
+    """Simulated engines, and entries that make the real decisions."""
 
     def __init__(
         self,
@@ -234,18 +235,18 @@
 
     @property
     def placed(self) -> collections.Counter:
-        """How many attempts each engine got."""
+        """The number of attempts by engine name."""
         return collections.Counter({engine.name: engine.attempts for engine in self.engines})
 
     async def start(self) -> None:
-        """Has every entry hear of every engine, and go on hearing."""
+        """Delivers first reports to every entry, and starts periodic ones."""
         self._spawn(self._report())
         await asyncio.sleep(self.report_lag + 0.01)
 
     async def _report(self) -> None:
         while True:
             for table in self.tables:
-                table.hear(self.report_lag, self.reports_lost)
+                table.deliver_reports(self.report_lag, self.reports_lost)
             await asyncio.sleep(STATUS_SECONDS)
 
     def _spawn(self, work) -> asyncio.Task:
@@ -263,7 +264,7 @@
         entry: int = 0,
         priority: Priority = Priority.GENERATE,
     ) -> Answer:
-        """Sends one request as a caller would, and notes what became of it."""
+        """Sends one request as a caller would, and records its outcome."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         number = next(self._numbers)
@@ -291,25 +292,25 @@
         self.answers.append(answer)
         return answer
 
-    async def _serve(self, traffic: RequestScheduler, item: WorkItem, answer: Answer) -> None:
-        permit = await traffic.admit(item)
+    async def _serve(self, scheduler: RequestScheduler, item: WorkItem, answer: Answer) -> None:
+        permit = await scheduler.admit(item)
         tried: set[str] = set()
         try:
             while True:
                 try:
-                    await self._attempt(traffic, item, answer, tried)
+                    await self._attempt(scheduler, item, answer, tried)
                     return
                 except CodedError as error:
                     if error.code in ("no_endpoint", "request_blocked"):
                         raise
-                    if not traffic.may_retry(item):
+                    if not scheduler.may_retry(item):
                         raise
-                    await asyncio.sleep(traffic.retry_delay(item))
+                    await asyncio.sleep(scheduler.retry_delay(item))
         finally:
             permit.release()
 
-    async def _attempt(self, traffic, item: WorkItem, answer: Answer, tried: set[str]) -> None:
-        placement = traffic.place(item, frozenset(tried))
+    async def _attempt(self, scheduler, item: WorkItem, answer: Answer, tried: set[str]) -> None:
+        placement = scheduler.place(item, frozenset(tried))
         tried.add(placement.view.instance.name)
         engine = self.by_name[placement.view.instance.name]
         loop = asyncio.get_running_loop()
@@ -329,7 +330,7 @@
             placement.end(code)
 
     async def arrive(self, per_second: float, seconds: float, **asked: object) -> None:
-        """Has requests arrive at random times, whatever becomes of earlier ones."""
+        """Sends requests at random times, without waiting for earlier ones."""
         loop = asyncio.get_running_loop()
         rng = random.Random(self.rng.random())
         ends = loop.time() + seconds
@@ -343,12 +344,12 @@
         await asyncio.gather(*tasks)
 
     def stop(self) -> None:
-        """Ends what goes on for ever."""
+        """Cancels the background tasks."""
         for task in self._tasks:
             task.cancel()
 
 
 def percentile(values: list[float], part: float) -> float:
-    """Returns the value that a part of all values does not exceed."""
-    ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(part * len(ranked)))] if ranked else 0.0
+    """Returns the value that a given fraction of all values does not exceed."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
