--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -222,7 +222,7 @@
         log = EventLog(logbook.Logger("test", level=logbook.CRITICAL), "test")
         self.tables = [FakeTable(self.engines, data_centres or {}) for _ in range(entries)]
         follower = FakeFollower(shares or {}, limits or {})
-        self.traffics = [
+        self.schedulers = [
             make_traffic(table, log, follower, "r", "r-1", random.Random(seed + n), lambda: entries)
             for n, table in enumerate(self.tables)
         ]
@@ -281,7 +281,7 @@
         answer = Answer(workspace, "lost", 0.0, 0.0, began=began)
         try:
             async with asyncio.timeout(deadline):
-                await self._serve(self.traffics[entry], item, answer)
+                await self._serve(self.schedulers[entry], item, answer)
             answer.became = "whole"
         except TimeoutError:
             answer.became = "late"
@@ -338,8 +338,8 @@
         while loop.time() < ends:
             await asyncio.sleep(rng.expovariate(per_second))
             chosen = dict(asked)
-            if len(self.traffics) > 1:
-                chosen["entry"] = rng.randrange(len(self.traffics))
+            if len(self.schedulers) > 1:
+                chosen["entry"] = rng.randrange(len(self.schedulers))
             tasks.append(self._spawn(self.ask(**chosen)))
         await asyncio.gather(*tasks)
 
--- a/wasabidrum/entry/attempt_observer_test.py
+++ b/wasabidrum/entry/attempt_observer_test.py
@@ -22,7 +22,7 @@
         async def work() -> list[Health]:
             fleet = FakeFleet(engines=2, slots=8)
             await fleet.start()
-            self.scheduler = fleet.traffics[0]
+            self.scheduler = fleet.schedulers[0]
             streams = [
                 [self.place(name, other) for _ in range(STREAMS_EACH)]
                 for name, other in (("e0", "e1"), ("e1", "e0"))
@@ -120,7 +120,7 @@
         async def work() -> float:
             fleet = FakeFleet(engines=2, slots=8)
             await fleet.start()
-            scheduler = fleet.traffics[0]
+            scheduler = fleet.schedulers[0]
             item = WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "", 1000)
             for _ in range(3):
                 placement = scheduler.place(item, frozenset(("e1",)))
--- a/wasabidrum/entry/placement_test.py
+++ b/wasabidrum/entry/placement_test.py
@@ -16,7 +16,7 @@
         async def run() -> bool:
             fleet = FakeFleet(engines=2)
             await fleet.start()
-            scheduler = fleet.traffics[0]
+            scheduler = fleet.schedulers[0]
             item = WorkItem("r", "w", Priority.GENERATE, 2000.0, True, "summaries", "", "p", 5)
             permit = await scheduler.admit(item)
             placement = scheduler.place(item)
