--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -29,7 +29,7 @@
 
 def play(make_traffic: type[RequestScheduler], seconds: float) -> dict[str, float]:
     """Plays one policy; returns its figures."""
-    fleet = FakeFleet(ENGINES, SLOTS, ENTRIES, make_traffic=make_traffic)
+    fleet = FakeFleet(ENGINES, SLOTS, ENTRIES, make_scheduler=make_traffic)
     fleet.report_lag = 1.0
     queues: list[float] = []
 
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -214,7 +214,7 @@
         shares: dict[str, float] | None = None,
         data_centres: dict[str, str] | None = None,
         seed: int = 1,
-        make_traffic=RequestScheduler,
+        make_scheduler=RequestScheduler,
         limits: dict[str, float] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
@@ -223,7 +223,9 @@
         self.tables = [FakeTable(self.engines, data_centres or {}) for _ in range(entries)]
         follower = FakeFollower(shares or {}, limits or {})
         self.schedulers = [
-            make_traffic(table, log, follower, "r", "r-1", random.Random(seed + n), lambda: entries)
+            make_scheduler(
+                table, log, follower, "r", "r-1", random.Random(seed + n), lambda: entries
+            )
             for n, table in enumerate(self.tables)
         ]
         self.answers: list[Answer] = []
