--- a/tests/busy_entry_test.py
+++ b/tests/busy_entry_test.py
@@ -13,8 +13,7 @@
 
 from tornado import iostream
 
-from tests.gateway_test import GatewayCase
-from tests.listed_platform import (
+from tests.fake_platform import (
     HOST,
     ReceivedRequest,
     Reply,
@@ -22,6 +21,7 @@
     read_reply,
     refuse,
 )
+from tests.gateway_test import GatewayCase
 from wasabidrum.core.request_head import RequestHead
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import heads, names
--- a/tests/gateway_faults_test.py
+++ b/tests/gateway_faults_test.py
@@ -4,8 +4,8 @@
 import unittest
 from unittest import mock
 
+from tests.fake_platform import answer_ok, make_configuration, response_head, stream_events
 from tests.gateway_test import KEY, GatewayCase
-from tests.listed_platform import answer_ok, make_configuration, response_head, stream_events
 from wasabidrum.core import boot_clock
 from wasabidrum.gateway import endpoint_connection
 from wasabidrum.platform import names
--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -5,7 +5,7 @@
 
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
-from tests.listed_platform import (
+from tests.fake_platform import (
     ListedFleet,
     answer_ok,
     make_configuration,
--- a/tests/listed_engines.py
+++ b/tests/listed_engines.py
@@ -6,7 +6,7 @@
 import msgspec
 from tornado import httpserver, netutil, web
 
-from tests.listed_platform import ListedStore, free_ports, quiet_log
+from tests.fake_platform import ListedStore, free_ports, quiet_log
 from wasabidrum.config.deployment import Address, Bounds, Deployment
 from wasabidrum.gateway.daemon import Gateway, make_gateway
 from wasabidrum.platform import names
--- a/tests/recall_race_test.py
+++ b/tests/recall_race_test.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from tests.listed_platform import FakeEndpoint, ReceivedRequest, reset, response_head
+from tests.fake_platform import FakeEndpoint, ReceivedRequest, reset, response_head
 from tests.version_bound_test import VersionBoundCase
 from wasabidrum.config.deployment import Bounds
 from wasabidrum.gateway import published_state
--- a/tests/recall_together_test.py
+++ b/tests/recall_together_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.listed_platform import FakeEndpoint, ReceivedRequest, Reply, response_head, stream_events
+from tests.fake_platform import FakeEndpoint, ReceivedRequest, Reply, response_head, stream_events
 from tests.version_bound_test import (
     MODEL,
     SERVICE,
--- a/tests/silent_endpoint_test.py
+++ b/tests/silent_endpoint_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.listed_platform import FakeEndpoint, ReceivedRequest, Reply, response_head
+from tests.fake_platform import FakeEndpoint, ReceivedRequest, Reply, response_head
 from tests.version_bound_test import StartsWhenWoken, VersionBoundCase
 from wasabidrum.config.deployment import Bounds
 from wasabidrum.platform import names
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest import mock
 
-from tests.listed_platform import (
+from tests.fake_platform import (
     FakeEndpoint,
     ListedFleet,
     ReceivedRequest,
--- a/wasabidrum/platform/store_client_test.py
+++ b/wasabidrum/platform/store_client_test.py
@@ -3,7 +3,7 @@
 import time
 import unittest
 
-from tests.listed_platform import ListedStore
+from tests.fake_platform import ListedStore
 
 from ..config.deployment import Address
 from ..core.errors import CodedError
