--- a/tests/listed_weights_test.py
+++ b/tests/listed_weights_test.py
@@ -4,7 +4,7 @@
 import asyncio
 import unittest
 
-from tests.listed_engines import MODEL, EngineFleet, make_piece
+from tests.fake_engines import MODEL, EngineFleet, make_piece
 from wasabidrum.decisions.chunk_plan import rank_names
 from wasabidrum.platform import names
 
--- a/tests/weights_relay_test.py
+++ b/tests/weights_relay_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.listed_engines import PIECES, EngineFleet
+from tests.fake_engines import PIECES, EngineFleet
 
 
 class WeightsRelayTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/weights_retirement_test.py
+++ b/tests/weights_retirement_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.listed_engines import LAYERS, PIECES, EngineFleet
+from tests.fake_engines import LAYERS, PIECES, EngineFleet
 from wasabidrum.config.deployment import Bounds
 
 BOUND_SECONDS = 3.0
--- a/tests/weights_suspended_sidecar_test.py
+++ b/tests/weights_suspended_sidecar_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.listed_engines import EngineFleet, FakeStagingEngine
+from tests.fake_engines import EngineFleet, FakeStagingEngine
 from wasabidrum.weights.chunk_member import CHUNK_PORT_OFFSET
 
 ENGINES = 4
