--- a/tests/fake_engines.py
+++ b/tests/fake_engines.py
@@ -6,7 +6,7 @@
 import msgspec
 from tornado import httpserver, netutil, web
 
-from tests.fake_platform import ListedStore, free_ports, quiet_log
+from tests.fake_platform import FakeStore, free_ports, quiet_log
 from wasabidrum.config.deployment import Address, Bounds, Deployment
 from wasabidrum.gateway.daemon import Gateway, make_gateway
 from wasabidrum.platform import names
@@ -227,7 +227,7 @@
     """A store, an origin, and engines with sidecars, each on a loopback address of its own."""
 
     def __init__(self) -> None:
-        self.store = ListedStore()
+        self.store = FakeStore()
         self.origin = FakeOrigin()
         self.engines: list[FakeStagingEngine] = []
         self.sidecars: list[DeployedSidecar] = []
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -40,7 +40,7 @@
 class StoreHandler(web.RequestHandler):
     """Serves range reads and watches."""
 
-    def initialize(self, store: "ListedStore") -> None:
+    def initialize(self, store: "FakeStore") -> None:
         """Receives the store from the route's arguments."""
         self.store = store
 
@@ -67,7 +67,7 @@
         self.write({"events": events, "asOf": store.revision})
 
 
-class ListedStore:
+class FakeStore:
     """An in-memory store that tests write to."""
 
     def __init__(self, page_size: int = 500) -> None:
@@ -347,7 +347,7 @@
     """A store, endpoints and entries, all in this process."""
 
     def __init__(self) -> None:
-        self.store = ListedStore()
+        self.store = FakeStore()
         self.endpoints: list[FakeEndpoint] = []
         self.gateways: list[Gateway] = []
         self.deployments: list[Deployment] = []
--- a/wasabidrum/platform/store_client_test.py
+++ b/wasabidrum/platform/store_client_test.py
@@ -3,7 +3,7 @@
 import time
 import unittest
 
-from tests.fake_platform import ListedStore
+from tests.fake_platform import FakeStore
 
 from ..config.deployment import Address
 from ..core.errors import CodedError
@@ -15,7 +15,7 @@
     """A client of a store that answers in small pages."""
 
     async def asyncSetUp(self) -> None:
-        self.store = ListedStore(page_size=3)
+        self.store = FakeStore(page_size=3)
         await self.store.start()
         address = Address("127.0.0.1", self.store.port)
         self.client = make_store_client(http_client.make_client(), address)
