--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -343,7 +343,7 @@
     whole: bool
 
 
-class ListedFleet:
+class PlatformFleet:
     """A store, endpoints and entries, all in this process."""
 
     def __init__(self) -> None:
--- a/tests/gateway_test.py
+++ b/tests/gateway_test.py
@@ -6,7 +6,7 @@
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
 from tests.fake_platform import (
-    ListedFleet,
+    PlatformFleet,
     answer_ok,
     make_configuration,
     refuse,
@@ -29,7 +29,7 @@
     tenants = False
 
     async def asyncSetUp(self) -> None:
-        self.fleet = ListedFleet()
+        self.fleet = PlatformFleet()
         await self.fleet.start()
         await self.fleet.store.put(
             names.CONFIGURATION_KEY, make_configuration(7, "tally", tenants=self.tenants)
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -10,7 +10,7 @@
 
 from tests.fake_platform import (
     FakeEndpoint,
-    ListedFleet,
+    PlatformFleet,
     ReceivedRequest,
     Reply,
     make_configuration,
@@ -60,7 +60,7 @@
     bounds = Bounds(version=BOUND_SECONDS)
 
     async def asyncSetUp(self) -> None:
-        self.fleet = ListedFleet()
+        self.fleet = PlatformFleet()
         await self.fleet.start()
         await self.fleet.store.put(names.CONFIGURATION_KEY, make_engines_configuration())
         self.old = await self.fleet.add_endpoint("old", SERVICE)
