--- a/tests/busy_entry_test.py
+++ b/tests/busy_entry_test.py
@@ -139,11 +139,11 @@
         self.addCleanup(engine.listener.close)
         engine.start()
         await self.move_endpoints_to(engine.listener.getsockname()[1])
-        leaver = self.connect()
-        self.send(leaver, "unsafe", "r1")
+        caller = self.connect()
+        self.send(caller, "unsafe", "r1")
         await self.fleet.wait_until(lambda: engine.began)
         self.send_burst()
-        leaver.close()
+        caller.close()
         left_at = asyncio.get_running_loop().time()
         await self.fleet.wait_until(lambda: engine.ended_at, seconds=5.0)
         self.assertLess(engine.ended_at - left_at, BURST_SECONDS / 2)
@@ -153,9 +153,9 @@
         were processed as new, it would take a connection to an engine, and a place in the entry's
         counts, from a request whose caller is still waiting."""
         self.send_burst()
-        leaver = self.connect()
-        self.send(leaver, "unsafe", "r1")
-        leaver.close()
+        caller = self.connect()
+        self.send(caller, "unsafe", "r1")
+        caller.close()
         connect = mock.AsyncMock(side_effect=endpoint_connection.connect)
         with mock.patch.object(endpoint_connection, "connect", connect):
             await self.fleet.ask(0, "tally", "nothing", "last")
@@ -182,18 +182,18 @@
         its wait succeeds, and unless that cancellation takes effect the request is sent. Nothing
         cancels it again: the engine holds a slot for it until its first event finds that the caller
         is gone."""
-        leaver = self.connect()
+        caller = self.connect()
         real_connect = iostream.IOStream.connect
 
-        def connect_as_caller_leaves(stream, address, *args):
+        def connect_as_caller_disconnects(stream, address, *args):
             connecting = real_connect(stream, address, *args)
             if address[1] in (self.a.port, self.b.port):
-                leaver.close()
+                caller.close()
             return connecting
 
-        with mock.patch.object(iostream.IOStream, "connect", connect_as_caller_leaves):
-            self.send(leaver, "unsafe", "r1")
-            await self.fleet.wait_until(lambda: leaver.fileno() < 0)
+        with mock.patch.object(iostream.IOStream, "connect", connect_as_caller_disconnects):
+            self.send(caller, "unsafe", "r1")
+            await self.fleet.wait_until(lambda: caller.fileno() < 0)
             await asyncio.sleep(0.1)
         self.assertEqual(self.received("r1"), [])
 
@@ -201,15 +201,15 @@
         """An engine refuses a request in the event loop iteration in which its caller disconnects.
         Unless the cancellation takes effect, the request is retried on another engine, for
         nobody."""
-        leaver = self.connect()
+        caller = self.connect()
 
-        async def refuse_as_caller_leaves(endpoint, request, writer) -> None:
+        async def refuse_as_caller_disconnects(endpoint, request, writer) -> None:
             await refuse(endpoint, request, writer)
-            leaver.close()
+            caller.close()
 
-        self.set_both(refuse_as_caller_leaves)
-        self.send(leaver, "unsafe", "r1")
-        await self.fleet.wait_until(lambda: leaver.fileno() < 0)
+        self.set_both(refuse_as_caller_disconnects)
+        self.send(caller, "unsafe", "r1")
+        await self.fleet.wait_until(lambda: caller.fileno() < 0)
         await asyncio.sleep(0.1)
         self.assertEqual(len(self.received("r1")), 1)
 
@@ -234,8 +234,8 @@
         caller = self.connect()
         self.send(caller, "safe", "r1")
         self.assertEqual((await self.read_reply_on(caller)).status, 200)
-        told = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
-        self.assertLessEqual(told, DEADLINE_MS - 1000 * BURST_SECONDS)
+        sent_deadline = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
+        self.assertLessEqual(sent_deadline, DEADLINE_MS - 1000 * BURST_SECONDS)
 
     async def test_request_that_expired_unread_is_refused(self) -> None:
         """A request with a deadline of 300 ms is read after a second. If it were forwarded, it
@@ -256,8 +256,8 @@
         await self.fleet.ask(0, "tally", "nothing", "last")
         self.send(caller, "safe", "r1")
         self.assertEqual((await self.read_reply_on(caller)).status, 200)
-        told = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
-        self.assertGreater(told, DEADLINE_MS - 1000 * BURST_SECONDS / 2)
+        sent_deadline = int(self.received("r1")[0].headers[names.DEADLINE.lower()])
+        self.assertGreater(sent_deadline, DEADLINE_MS - 1000 * BURST_SECONDS / 2)
 
 
 if __name__ == "__main__":
--- a/tests/recall_race_test.py
+++ b/tests/recall_race_test.py
@@ -26,12 +26,12 @@
         for unstarted requests before it reads its sockets, take this one for unstarted and reset
         it. The caller would get an error for an unknown outcome, although its response had
         arrived."""
-        begin_at = asyncio.get_running_loop().create_future()
+        start_at = asyncio.get_running_loop().create_future()
 
-        async def begin_and_be_busy(
+        async def start_and_block(
             endpoint: FakeEndpoint, request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            moment = await begin_at
+            moment = await start_at
             await asyncio.sleep(moment - asyncio.get_running_loop().time())
             endpoint.runs[request.headers[names.REQUEST_ID.lower()]] += 1
             more = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
@@ -40,9 +40,9 @@
             writer.write(content + b"%x\r\n%s\r\n0\r\n\r\n" % (len(event), event))
             time.sleep(BUSY_SECONDS)
 
-        self.old.handler = begin_and_be_busy
-        named_at = await self.name_and_hear(2)
-        begin_at.set_result(named_at + IN_TIME_SECONDS)
+        self.old.handler = start_and_block
+        named_at = await self.name_version_and_wait(2)
+        start_at.set_result(named_at + IN_TIME_SECONDS)
         reply = await self.ask("r1")
         self.assertEqual((self.old.runs["r1"], reply.status, reply.whole), (1, 200, True))
 
@@ -72,7 +72,7 @@
         failed = []
         self.gateway.tasks._on_failure = lambda name, error: failed.append((name, repr(error)))
         self.old.handler = crash
-        named_at = await self.name_and_hear(2)
+        named_at = await self.name_version_and_wait(2)
         crash_at.set_result(named_at + IN_TIME_SECONDS)
         reply = await self.ask("r1")
         self.assertEqual((reply.status, failed), (502, []))
@@ -96,7 +96,7 @@
             await writer.drain()
 
         self.old.handler = run_for_a_second
-        named_at = await self.name_and_hear(2)
+        named_at = await self.name_version_and_wait(2)
         await asyncio.sleep(named_at + 0.8 - asyncio.get_running_loop().time())
         reply = await self.ask("r1", "unsafe")
         self.assertEqual((self.old.runs["r1"], reply.status), (1, 200))
@@ -123,18 +123,18 @@
         await asyncio.sleep(0)
         time.sleep(0.9)
         await naming
-        await self.name_is_heard(2)
+        await self.wait_until_known(2)
         bound_at = named_at + self.bounds.version
         with mock.patch.object(published_state, "boot_seconds", lambda: bound_at):
             self.assertFalse(self.gateway.state.may_begin("m1", 1))
 
-    async def name_is_heard(self, version: int) -> None:
+    async def wait_until_known(self, version: int) -> None:
         """Waits until the entry knows a named version."""
 
-        def heard() -> bool:
+        def is_known() -> bool:
             return ("m1", version) in [n[:2] for n in self.gateway.state.named_versions()]
 
-        await self.fleet.wait_until(heard)
+        await self.fleet.wait_until(is_known)
 
 
 if __name__ == "__main__":
--- a/tests/version_bound_test.py
+++ b/tests/version_bound_test.py
@@ -87,14 +87,14 @@
         await self.fleet.store.put(names.VERSION_PREFIX + MODEL, value)
         return asyncio.get_running_loop().time()
 
-    async def name_and_hear(self, version: int) -> float:
+    async def name_version_and_wait(self, version: int) -> float:
         """Names a version, waits until the entry knows it, and returns when it was named."""
         named_at = await self.name_version(version)
 
-        def heard() -> bool:
+        def is_known() -> bool:
             return (MODEL, version) in [n[:2] for n in self.gateway.state.named_versions()]
 
-        await self.fleet.wait_until(heard)
+        await self.fleet.wait_until(is_known)
         return named_at
 
     def ask(self, request_id: str, kind: str = "streaming") -> "asyncio.Future[Reply]":
@@ -115,7 +115,7 @@
         8.39 s."""
         engine = StartsWhenWoken()
         self.old.handler = engine
-        named_at = await self.name_and_hear(2)
+        named_at = await self.name_version_and_wait(2)
         asking = self.ask("r1")
         await self.fleet.wait_until(lambda: bool(self.old.received))
         await self.register(self.new, 2)
@@ -132,7 +132,7 @@
         unknown outcome rather than "not run": the engine might have started it."""
         engine = StartsWhenWoken()
         self.old.handler = engine
-        named_at = await self.name_and_hear(2)
+        named_at = await self.name_version_and_wait(2)
         await self.sleep_until(named_at + 0.8)
         asking = self.ask("r1")
         await self.sleep_until(named_at + BOUND_SECONDS + PAST_SECONDS)
@@ -158,7 +158,7 @@
                 await stream_events(1, 5)(endpoint, request, writer)
 
         self.old.handler = slow
-        await self.name_and_hear(2)
+        await self.name_version_and_wait(2)
         await self.register(self.new, 2)
         reply = await self.ask("r1")
         self.assertTrue(reply.whole)
@@ -176,7 +176,7 @@
         self.old.handler = engine
         first = self.ask("r1")
         await asyncio.sleep(1.2)
-        named_at = await self.name_and_hear(2)
+        named_at = await self.name_version_and_wait(2)
         await self.sleep_until(named_at + 0.4)
         reply = await self.ask("r2")
         self.assertEqual((len(self.old.received), reply.status), (1, 503))
@@ -197,7 +197,7 @@
         not advanced, and by it the previous version would be valid for seconds more; a caller right
         after the resume would get text from weights that all other entries have stopped using."""
         real = boot_clock.time.clock_gettime
-        await self.name_and_hear(2)
+        await self.name_version_and_wait(2)
         with mock.patch.object(
             boot_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
         ):
@@ -216,7 +216,7 @@
             ahead[0] = SUSPENDED_SECONDS
             return connection
 
-        await self.name_and_hear(2)
+        await self.name_version_and_wait(2)
         with (
             mock.patch.object(
                 boot_clock.time, "clock_gettime", lambda clock: real(clock) + ahead[0]
@@ -242,7 +242,7 @@
         with mock.patch.object(
             boot_clock.time, "clock_gettime", lambda clock: real(clock) + SUSPENDED_SECONDS
         ):
-            await self.name_and_hear(2)
+            await self.name_version_and_wait(2)
             await asyncio.sleep(1.7)
             reply = await self.ask("r1")
         self.assertEqual((self.old.runs["r1"], reply.status), (0, 503))
--- a/tests/weights_relay_test.py
+++ b/tests/weights_relay_test.py
@@ -31,7 +31,7 @@
         """Returns whether every entry holds its part of a version."""
         return all(entry._relay.held_version == version for entry in self.fleet.entries)
 
-    def engines_answer(self, version: int) -> bool:
+    def engines_serve(self, version: int) -> bool:
         """Returns whether every engine serves a version."""
         return all(engine.version == version for engine in self.fleet.engines)
 
@@ -40,7 +40,7 @@
         on which it receives its own, and all engines would wait for the busiest link."""
         sent = self.fleet.origin.copies
         await self.fleet.name_version(2)
-        await self.wait_until(self.engines_answer, 2)
+        await self.wait_until(self.engines_serve, 2)
         self.assertLess(self.fleet.origin.copies - sent, 1.2)
         counts = [sidecar._distributor.counts for sidecar in self.fleet.sidecars]
         self.assertEqual(sum(count.from_origin for count in counts), 0)
@@ -52,7 +52,7 @@
         for sidecar in self.fleet.sidecars:
             await sidecar.stop()
         added = await self.fleet.add_engine(0)
-        await self.wait_until(self.engines_answer, 1)
+        await self.wait_until(self.engines_serve, 1)
         self.fleet.engines.remove(added)
         added.stop()
 
@@ -61,7 +61,7 @@
         await self.fleet.name_version(2)
         await asyncio.sleep(0.3)
         await self.fleet.end_entry(self.fleet.entries[0])
-        await self.wait_until(self.engines_answer, 2)
+        await self.wait_until(self.engines_serve, 2)
 
     async def test_both_entries_are_killed_during_distribution(self) -> None:
         """Sidecars get the rest from each other and from the origin."""
@@ -69,7 +69,7 @@
         await asyncio.sleep(0.3)
         for entry in list(self.fleet.entries):
             await self.fleet.end_entry(entry)
-        await self.wait_until(self.engines_answer, 2)
+        await self.wait_until(self.engines_serve, 2)
 
     async def test_new_entry_gets_weights_without_origin(self) -> None:
         """Entries are replaced one by one while the origin is down."""
@@ -83,8 +83,8 @@
         sent = self.fleet.origin.copies
         await self.fleet.name_version(2)
         await self.wait_until(self.entries_hold, 2)
-        drawn = [entry._relay._distributor.counts.from_origin for entry in self.entries]
-        self.assertTrue(all(drawn))
+        fetched = [entry._relay._distributor.counts.from_origin for entry in self.entries]
+        self.assertTrue(all(fetched))
         self.assertLess(self.fleet.origin.copies - sent, 1.0 + 3.0 / PIECES)
 
 
