--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what the users run: the platform, engines, services, bad links."""
+"""Simulated external systems for tests: the platform, engines, services and faulty links."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -26,14 +26,14 @@
 
 
 class EngineFaults(msgspec.Struct):
-    """What is wrong with the engine now.
+    """Faults injected into the engine.
 
     Attributes:
       slow_factor: Multiplies prefill and decode times.
-      crash_prompt: The engine dies when a prompt that holds this text starts to run.
+      crash_prompt: The process exits when a prompt that contains this text starts to run.
       fail_version: Activation of this version fails.
-      crash_on_activate: The engine dies when told to activate this version.
-      refuse: Every request is refused with 503.
+      crash_on_activate: The process exits when it is ordered to activate this version.
+      refuse: Every generate request is refused with 503.
     """
 
     slow_factor: float = 1.0
@@ -52,20 +52,20 @@
 
 
 class ActivateOrder(msgspec.Struct):
-    """An order to switch to the staged version."""
+    """An order to activate the staged version."""
 
     version: str
     fence: int
 
 
 class CancelOrder(msgspec.Struct):
-    """An order to free a request's slot."""
+    """An order to cancel a request."""
 
     request_id: str
 
 
 class RoleOrder(msgspec.Struct):
-    """An order to change role, or to load an adapter of some content digest."""
+    """An order to change the role, or to load the adapter with a given content digest."""
 
     fence: int
     role: str = ""
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineOptions:
-    """How large and how fast the engine is."""
+    """Capacity, timings and optional features of the engine."""
 
     slots: int = 8
     prefill_seconds_per_word: float = 0.0002
@@ -89,7 +89,7 @@
 
 
 class EngineState:
-    """Weights, slots, cache, load history and counts."""
+    """Weights, slots, prefix cache, load history and counters."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.options = options
@@ -113,15 +113,15 @@
         self.counters |= {"fenced": 0, "prefix_words": 0, "prefix_words_held": 0, "tokens": 0}
         self.counters |= {"staged_bytes": 0, "late_orders": 0}
 
-    def note_load(self) -> None:
-        """Remembers the load now, to be reported late."""
+    def record_load(self) -> None:
+        """Records the current load, which is reported after `load_lag_seconds`."""
         now = asyncio.get_running_loop().time()
         load = Load(self.slots_taken, len(self.waiters), self.options.slots)
         self.loads.append((now, load))
         del self.loads[:-1000]
 
     def reported_load(self) -> Load:
-        """Returns the load as it was one lag ago."""
+        """Returns the load as it was `load_lag_seconds` ago."""
         moment = asyncio.get_running_loop().time() - self.options.load_lag_seconds
         report = Load(slots=self.options.slots)
         for when, load in self.loads:
@@ -131,14 +131,14 @@
         return report
 
     async def take_slot(self, priority: int) -> None:
-        """Waits for a slot, lower priority numbers first."""
+        """Waits for a slot; waiters with lower priority numbers are served first."""
         if self.slots_taken < self.options.slots:
             self.slots_taken += 1
-            self.note_load()
+            self.record_load()
             return
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         heapq.heappush(self.waiters, (priority, next(self.arrivals), turn))
-        self.note_load()
+        self.record_load()
         try:
             await turn
         except asyncio.CancelledError:
@@ -149,18 +149,18 @@
             raise
 
     def free_slot(self) -> None:
-        """Hands a freed slot to the first who waits."""
+        """Hands the freed slot to the first waiter, if any."""
         while self.waiters:
             _, _, turn = heapq.heappop(self.waiters)
             if not turn.done():
                 turn.set_result(None)
-                self.note_load()
+                self.record_load()
                 return
         self.slots_taken -= 1
-        self.note_load()
+        self.record_load()
 
     def check_fence(self, fence: int) -> None:
-        """Refuses an order with an old number, where this engine does that."""
+        """Counts an order with an outdated fencing token, and refuses it if fencing is enabled."""
         if fence < self.fence:
             self.counters["late_orders"] += 1
             if self.options.fencing:
@@ -170,10 +170,10 @@
 
 
 class BaseHandler(web.RequestHandler):
-    """Gives handlers the state."""
+    """Base of the handlers, which share the state."""
 
     def initialize(self, state: EngineState) -> None:
-        """Takes the state from the route."""
+        """Receives the state from the route."""
         self.state = state
 
     def decode(self, kind: type) -> object:
@@ -182,7 +182,7 @@
 
 
 class GenerateHandler(BaseHandler):
-    """POST /v1/generate: streams one JSON event a token, then a last one."""
+    """POST /v1/generate: streams a head event, one JSON event per token, and a final event."""
 
     async def post(self) -> None:
         """Runs a request in a task of its own, so that it can be cancelled."""
@@ -202,7 +202,7 @@
             state.tasks.pop(order.request_id, None)
 
     async def run(self, order: GenerateRequest) -> None:
-        """Holds a slot while generating."""
+        """Generates while holding a slot."""
         await self.state.take_slot(order.priority)
         try:
             await self.generate(order, self.state.active)
@@ -210,7 +210,7 @@
             self.state.free_slot()
 
     async def generate(self, order: GenerateRequest, version: str) -> None:
-        """Prefills, then decodes token by token under one version."""
+        """Prefills, then decodes token by token with the weights of one version."""
         state = self.state
         options = state.options
         if state.faults.crash_prompt and state.faults.crash_prompt in order.prompt:
@@ -237,7 +237,7 @@
         self.write(msgspec.json.encode(event) + b"\n")
 
     def on_connection_close(self) -> None:
-        """Frees the slot of a caller that went away."""
+        """Cancels the request of a caller that disconnected, which frees its slot."""
         try:
             order = self.decode(GenerateRequest)
         except msgspec.MsgspecError:
@@ -250,7 +250,7 @@
     """POST /v1/cancel."""
 
     def post(self) -> None:
-        """Cancels a running request; one that is not running is no error."""
+        """Cancels a running request; does nothing if it is not running."""
         if task := self.state.tasks.get(self.decode(CancelOrder).request_id):
             task.cancel()
 
@@ -259,7 +259,7 @@
     """GET /v1/load, /v1/versions, /v1/cache-events and /v1/kv."""
 
     def get(self, what: str) -> None:
-        """Answers what the platform's engines tell of themselves."""
+        """Returns the engine's load, versions, cache events or cache blocks."""
         state = self.state
         now = asyncio.get_running_loop().time()
         if what == "load":
@@ -277,7 +277,7 @@
 
 
 class KvImportHandler(BaseHandler):
-    """PUT /v1/kv: takes cache blocks that another engine exported."""
+    """PUT /v1/kv/import: stores cache blocks that another engine exported."""
 
     def put(self) -> None:
         """Stores the blocks."""
@@ -289,7 +289,7 @@
     """POST /v1/orders/stage."""
 
     def post(self) -> None:
-        """Starts to stage; chunks shared with the version in force count as there."""
+        """Starts staging, reuses chunks of the active version, and returns the missing indexes."""
         order = self.decode(StageOrder)
         state = self.state
         state.check_fence(order.fence)
@@ -310,7 +310,7 @@
     """PUT /v1/stage/VERSION/INDEX."""
 
     def put(self, version: str, index: str) -> None:
-        """Takes a chunk of the version being staged."""
+        """Stores a chunk of the version being staged."""
         if version != self.state.staged:
             raise web.HTTPError(409, "not the version being staged")
         self.state.staged_chunks[int(index)] = self.request.body
@@ -321,7 +321,7 @@
     """POST /v1/orders/activate."""
 
     async def post(self) -> None:
-        """Switches versions, and judges whether the weights were whole."""
+        """Activates the staged version, and checks its chunks against the manifest."""
         order = self.decode(ActivateOrder)
         state = self.state
         state.check_fence(order.fence)
@@ -349,7 +349,7 @@
     """POST /v1/orders/role and /v1/orders/adapter."""
 
     def post(self, what: str) -> None:
-        """Takes a role or an adapter."""
+        """Sets the role or registers an adapter."""
         order = self.decode(RoleOrder)
         self.state.check_fence(order.fence)
         if what == "role":
@@ -359,7 +359,7 @@
 
 
 class AdapterHandler(BaseHandler):
-    """PUT /v1/adapters/NAME: takes an adapter's bytes under the digest of its manifest."""
+    """PUT /v1/adapters/NAME: loads an adapter's bytes under the digest of its manifest."""
 
     def put(self, name: str) -> None:
         """Loads an adapter in one step."""
@@ -369,7 +369,7 @@
 
 
 class ControlHandler(BaseHandler):
-    """The tests' side: faults in, counters out."""
+    """Control interface for tests: sets faults and returns counters."""
 
     def get(self, what: str) -> None:
         """GET /control/counters."""
@@ -384,27 +384,27 @@
 
 
 def make_application(state: EngineState) -> web.Application:
-    """Returns the stand-in's routes."""
-    given = {"state": state}
+    """Returns the application with the engine's routes."""
+    route_arguments = {"state": state}
     return web.Application(
         [
-            (r"/v1/generate", GenerateHandler, given),
-            (r"/v1/cancel", CancelHandler, given),
-            (r"/v1/orders/stage", StageHandler, given),
-            (r"/v1/stage/([^/]+)/([0-9]+)", StageChunkHandler, given),
-            (r"/v1/orders/activate", ActivateHandler, given),
-            (r"/v1/orders/(role|adapter)", RoleHandler, given),
-            (r"/v1/adapters/([^/]+)", AdapterHandler, given),
-            (r"/v1/kv/import", KvImportHandler, given),
-            (r"/v1/([a-z-]+)", ReadHandler, given),
-            (r"/control/(.*)", ControlHandler, given),
+            (r"/v1/generate", GenerateHandler, route_arguments),
+            (r"/v1/cancel", CancelHandler, route_arguments),
+            (r"/v1/orders/stage", StageHandler, route_arguments),
+            (r"/v1/stage/([^/]+)/([0-9]+)", StageChunkHandler, route_arguments),
+            (r"/v1/orders/activate", ActivateHandler, route_arguments),
+            (r"/v1/orders/(role|adapter)", RoleHandler, route_arguments),
+            (r"/v1/adapters/([^/]+)", AdapterHandler, route_arguments),
+            (r"/v1/kv/import", KvImportHandler, route_arguments),
+            (r"/v1/([a-z-]+)", ReadHandler, route_arguments),
+            (r"/control/(.*)", ControlHandler, route_arguments),
         ],
         log_function=lambda handler: None,
     )
 
 
 def main() -> int:
-    """Runs the stand-in until it is told to end."""
+    """Runs the engine until SIGTERM or SIGINT."""
     parser = process_options.make_parser(__doc__)
     defaults = EngineOptions()
     for field in dataclasses.fields(EngineOptions):
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -17,17 +17,17 @@
 
 @dataclasses.dataclass(slots=True)
 class LinkFaults:
-    """What is wrong with the link now.
+    """Faults injected into the link.
 
     Attributes:
-      delay_seconds: Added to every piece, each way.
-      stall: Nothing moves, and nothing is closed.
-      cut_after_bytes: Closes a connection once this many bytes went back; -1 for never.
-      corrupt_chance: Each this many bytes sent back, one is changed; 0 for never.
-      refuse: New connections are closed at once, and the open ones are cut.
-      repeat_requests: Each connection's bytes are sent once more, later, by the proxy.
-      repeat_delay_seconds: How much later.
-      loss_chance: How likely a piece is lost; it comes again after 0.2 s, then twice that.
+      delay_seconds: Delay added to every piece of data, in both directions.
+      stall: No data is forwarded, and no connection is closed.
+      cut_after_bytes: Aborts a connection once this many response bytes were sent; -1 for never.
+      corrupt_every_bytes: One in this many response bytes is inverted; 0 for none.
+      refuse: New connections are aborted at once, and open ones when the fault is set.
+      repeat_requests: The proxy resends each connection's request bytes after it has ended.
+      repeat_delay_seconds: Delay before the bytes are resent.
+      loss_chance: Probability that a piece is lost; it is resent after 0.2 s, then twice that.
     """
 
     delay_seconds: float = 0.0
@@ -41,7 +41,7 @@
 
 
 class FaultProxy:
-    """Carries connections to one target under the faults set now."""
+    """Forwards connections to one target, with the current faults applied."""
 
     __slots__ = ("_target_host", "_target_port", "faults", "_limiter", "_writers", "carried")
 
@@ -54,14 +54,14 @@
         self.carried = {"forth": 0, "back": 0}
 
     def set_faults(self, faults: LinkFaults) -> None:
-        """Takes new faults; refusing also cuts what is open."""
+        """Replaces the faults; `refuse` also aborts the open connections."""
         self.faults = faults
         if faults.refuse:
             for writer in list(self._writers):
                 writer.transport.abort()
 
     async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carries one connection until either side ends it."""
+        """Forwards one connection until both directions have ended."""
         if self.faults.refuse:
             writer.transport.abort()
             return
@@ -111,7 +111,7 @@
                     resend_seconds *= 2
                 await self._limiter.reserve(len(content))
                 if way == "back":
-                    content = self._spoil(content, carried)
+                    content = self._apply_faults(content, carried)
                 carried += len(content)
                 self.carried[way] += len(content)
                 if copy is not None:
@@ -129,24 +129,24 @@
             if way == "back":
                 writer.close()
 
-    def _spoil(self, content: bytes, carried: int) -> bytes:
+    def _apply_faults(self, content: bytes, carried: int) -> bytes:
         limit = self.faults.cut_after_bytes
         if limit >= 0:
             content = content[: max(0, limit - carried)]
         every = self.faults.corrupt_every_bytes
         if not every:
             return content
-        spoilt = bytearray(content)
+        corrupted = bytearray(content)
         first = every - carried % every - 1
-        for place in range(first, len(spoilt), every):
-            spoilt[place] ^= 0xFF
-        return bytes(spoilt)
+        for place in range(first, len(corrupted), every):
+            corrupted[place] ^= 0xFF
+        return bytes(corrupted)
 
 
-async def take_orders(
+async def serve_control(
     proxy: FaultProxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Reads faults as JSON, a line each, and answers each with the bytes carried so far."""
+    """Reads faults as JSON lines, and answers each with the bytes forwarded so far."""
     while line := await reader.readline():
         proxy.set_faults(LinkFaults(**json.loads(line)))
         writer.write(json.dumps(proxy.carried).encode() + b"\n")
@@ -155,12 +155,12 @@
 
 
 async def run(target_port: int, port: int, bytes_per_second: float) -> None:
-    """Serves the link and its control port until the process is ended."""
+    """Serves the link and its control port until the process is killed."""
     proxy = FaultProxy("127.0.0.1", target_port, RateLimiter(bytes_per_second))
     server = await asyncio.start_server(proxy.carry, "127.0.0.1", port)
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await take_orders(proxy, reader, writer)
+        await serve_control(proxy, reader, writer)
 
     control = await asyncio.start_server(take, "127.0.0.1", 0)
     print(f"CONTROL {control.sockets[0].getsockname()[1]}", flush=True)
@@ -169,7 +169,7 @@
 
 
 def main() -> int:
-    """Runs the proxy until it is ended."""
+    """Runs the proxy until it is killed."""
     parser = process_options.make_parser(__doc__)
     parser.add_argument("--target-port", type=int, required=True)
     parser.add_argument("--mbit", type=float, default=0.0, help="0 means no limit")
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A bounded cache of prompt prefixes, as engines keep, with events late and with gaps."""
+"""A bounded LRU cache of prompt prefixes, as engines have, whose event stream has gaps."""
 
 import collections
 import hashlib
@@ -8,7 +8,7 @@
 
 
 def prefix_blocks(prompt: str) -> list[str]:
-    """Returns a mark for each whole block of words that a prompt begins with."""
+    """Returns for each full block of words the hash of the prompt up to the end of the block."""
     words = prompt.split()
     marks = []
     running = hashlib.sha256()
@@ -19,7 +19,7 @@
 
 
 class PrefixCache:
-    """Least recently used blocks, and the events that tell of them."""
+    """Holds the most recently used blocks, and the events of their storage and removal."""
 
     __slots__ = ("_blocks", "_capacity", "_events", "_sequence", "_gap_chance", "_random")
 
@@ -34,11 +34,11 @@
         self._random = random.Random(seed)
 
     def blocks(self) -> list[str]:
-        """Returns the marks held, the least recently used first."""
+        """Returns the hashes of the cached blocks, the least recently used first."""
         return list(self._blocks)
 
     def take(self, marks: list[str], now: float) -> int:
-        """Stores a prompt's blocks and returns how many of them were held already."""
+        """Stores a prompt's blocks; returns how many leading blocks were already cached."""
         held = 0
         for mark in marks:
             if mark not in self._blocks:
@@ -49,21 +49,21 @@
                 self._blocks.move_to_end(mark)
                 continue
             self._blocks[mark] = None
-            self._tell("stored", mark, now)
+            self._record_event("stored", mark, now)
         while len(self._blocks) > self._capacity:
             mark, _ = self._blocks.popitem(last=False)
-            self._tell("removed", mark, now)
+            self._record_event("removed", mark, now)
         return held
 
     def events_after(self, sequence: int, before: float) -> list[dict[str, object]]:
-        """Returns events later than a sequence number that are old enough to be told."""
+        """Returns the events after a sequence number that happened no later than `before`."""
         return [
             event
             for moment, event in self._events
             if moment <= before and event["sequence"] > sequence
         ]
 
-    def _tell(self, kind: str, mark: str, now: float) -> None:
+    def _record_event(self, kind: str, mark: str, now: float) -> None:
         self._sequence += 1
         if self._random.random() < self._gap_chance:
             return
--- a/standins/rate_limiter.py
+++ b/standins/rate_limiter.py
@@ -1,4 +1,4 @@
-"""A link of a given rate, shared by all who send over it."""
+"""A rate limit shared by all senders on a simulated link."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 
 class RateLimiter:
-    """Delays senders so that together they send no more than a rate.
+    """Delays senders so that their combined rate stays within the limit.
 
-    A sender reserves a slice and sleeps until its slice has left, so concurrent senders
-    take turns as they would on a real link.
+    A sender reserves a slice and sleeps until that slice would be transmitted, so
+    concurrent senders share the link as they would share a real one.
     """
 
     __slots__ = ("_bytes_per_second", "_free_at", "sent_bytes")
@@ -20,7 +20,7 @@
         self.sent_bytes = 0
 
     async def reserve(self, size: int) -> None:
-        """Waits until some bytes have left; a rate of zero means no limit."""
+        """Waits until `size` bytes would be transmitted; a rate of zero means no limit."""
         self.sent_bytes += size
         if self._bytes_per_second <= 0:
             return
@@ -30,5 +30,5 @@
 
 
 def make_limiter_mbit(megabits_per_second: float) -> RateLimiter:
-    """Returns a link of a rate in megabits a second; zero means no limit."""
+    """Returns a limiter for a rate in megabits per second; zero means no limit."""
     return RateLimiter(megabits_per_second * 1_000_000 / 8)
--- a/standins/service.py
+++ b/standins/service.py
@@ -15,20 +15,20 @@
 
 
 class Charge(msgspec.Struct):
-    """A charge, with the caller's own mark by which runs are counted."""
+    """A charge, with the caller's mark, by which executions are counted."""
 
     mark: str
     amount: int = 0
 
 
 class ServiceFaults(msgspec.Struct):
-    """What is wrong with the service now.
+    """Faults injected into the service.
 
     Attributes:
-      delay_seconds: How long a call takes before it runs.
-      delay_after_seconds: How long the answer takes after the call ran.
-      crash_before: The mark at which the process dies before it runs the charge.
-      crash_after: The mark at which the process dies after it ran the charge.
+      delay_seconds: Delay before a charge is executed or a read is answered.
+      delay_after_seconds: Delay between the execution of a charge and its response.
+      crash_before: The process exits before it executes the charge with this mark.
+      crash_after: The process exits after it has executed the charge with this mark.
     """
 
     delay_seconds: float = 0.0
@@ -38,7 +38,7 @@
 
 
 class ServiceState:
-    """Runs by mark, and the journal in which runs outlive a crash."""
+    """The number of executions of each mark, and the journal that preserves them in a crash."""
 
     __slots__ = ("name", "runs", "faults", "journal_path")
 
@@ -49,7 +49,7 @@
         self.journal_path = journal_path
 
     def record(self, mark: str) -> None:
-        """Counts one run, in the journal first."""
+        """Counts one execution, and appends it to the journal."""
         self.runs[mark] += 1
         if self.journal_path:
             with open(self.journal_path, "a", encoding="utf-8") as journal:
@@ -57,14 +57,14 @@
 
 
 class CallHandler(web.RequestHandler):
-    """POST /charge runs a charge; GET /balance reads; anything else echoes."""
+    """POST executes a charge; GET returns the path and query; both at any path."""
 
     def initialize(self, state: ServiceState) -> None:
-        """Takes the state from the route."""
+        """Receives the state from the route."""
         self.state = state
 
     async def post(self, path: str) -> None:
-        """Runs a charge."""
+        """Executes a charge, unless a crash before it is injected."""
         charge = msgspec.json.decode(self.request.body, type=Charge)
         faults = self.state.faults
         await asyncio.sleep(faults.delay_seconds)
@@ -78,16 +78,16 @@
         self.write(answer)
 
     async def get(self, path: str) -> None:
-        """Answers a read with what was asked, so that a crossed answer shows."""
+        """Returns the path and query, so that a misdelivered response is recognizable."""
         await asyncio.sleep(self.state.faults.delay_seconds)
         self.write({"path": path, "query": self.request.query, "by": self.state.name})
 
 
 class ControlHandler(web.RequestHandler):
-    """The tests' side: faults in, runs out."""
+    """Control interface for tests: sets faults and returns the execution counts."""
 
     def initialize(self, state: ServiceState) -> None:
-        """Takes the state from the route."""
+        """Receives the state from the route."""
         self.state = state
 
     def get(self, what: str) -> None:
@@ -100,14 +100,17 @@
 
 
 def main() -> int:
-    """Runs the stand-in until it is told to end."""
+    """Runs the service until SIGTERM or SIGINT."""
     parser = process_options.make_parser(__doc__)
     parser.add_argument("--name", default="service")
     parser.add_argument("--journal", default="", help="file in which runs outlive a crash")
     options = parser.parse_args()
-    given = {"state": ServiceState(options.name, options.journal)}
+    route_arguments = {"state": ServiceState(options.name, options.journal)}
     application = web.Application(
-        [(r"/control/(.*)", ControlHandler, given), (r"/(.*)", CallHandler, given)],
+        [
+            (r"/control/(.*)", ControlHandler, route_arguments),
+            (r"/(.*)", CallHandler, route_arguments),
+        ],
         log_function=lambda handler: None,
     )
     asyncio.run(process_options.serve(application, options.port))
