--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The test command, and tests that need real processes of more than one package."""
+"""The test runner, and tests that span several packages or start real processes."""
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: an authority, and what it signs."""
+"""A certificate authority for tests."""
 
 import datetime
 import ipaddress
@@ -13,7 +13,7 @@
 
 
 class Authority:
-    """Signs certificates for a fleet."""
+    """Signs the certificates of a fleet."""
 
     def __init__(self, name: str) -> None:
         self._key = ec.generate_private_key(ec.SECP256R1())
@@ -21,7 +21,7 @@
         self.certificate = self._sign(self._name, self._key.public_key(), authority=True)
 
     def write(self, folder: pathlib.Path, name: str) -> dict[str, str]:
-        """Writes a new certificate, its key and the authority; returns the tls settings."""
+        """Writes a new certificate, its key and the CA certificate; returns the TLS settings."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         certificate = self._sign(subject, key.public_key(), authority=False)
@@ -36,10 +36,10 @@
             "authority": self.certificate.public_bytes(serialization.Encoding.PEM),
         }
         settings = {}
-        for what, content in contents.items():
-            path = folder / f"{name}-{what}.pem"
+        for kind, content in contents.items():
+            path = folder / f"{name}-{kind}.pem"
             path.write_bytes(content)
-            settings[what] = str(path)
+            settings[kind] = str(path)
         return settings
 
     def _sign(
--- a/tests/load_test.py
+++ b/tests/load_test.py
@@ -1,4 +1,4 @@
-"""Decisions under load with real processes, judged by what callers and engines saw."""
+"""Admission and crash protection under load, with real processes."""
 
 import asyncio
 import json
@@ -14,10 +14,10 @@
 
 
 class LoadTest(unittest.IsolatedAsyncioTestCase):
-    """A small fleet that is full, or is being killed by a request."""
+    """A small fleet that is overloaded, or whose engines crash on one request."""
 
     async def start(self, cluster: Cluster, engines: int, entries: int) -> list[Member]:
-        """Starts a fleet; returns the engines' members once every entry serves."""
+        """Starts a fleet; returns its engines once all entries serve and all engines are live."""
         await cluster.start_platform()
         names = [f"worker-{number}" for number in range(engines)]
         started = await asyncio.gather(
@@ -50,8 +50,9 @@
         return started[:engines]
 
     async def test_charges_go_through_while_summaries_are_refused(self) -> None:
-        """Five times what the engines can do is asked for, beside charges. Without reserved
-        room and refusals a shop stays unpaid, and every caller waits for its deadline."""
+        """Completions arrive at five times the engines' capacity, together with charges. Without
+        reserved capacity and early refusals, charges would fail and callers would wait until
+        their deadlines."""
         async with Cluster() as cluster:
             await self.start(cluster, engines=2, entries=1)
             port = cluster.members["entry-0"].caller_port
@@ -59,34 +60,35 @@
             callers = LoadCallers([port], seed=3)
 
             async def charge_often() -> list[str]:
-                became = []
+                outcomes = []
                 for _ in range(40):
-                    became.append(await charges.charge())
+                    outcomes.append(await charges.charge())
                     await asyncio.sleep(0.1)
-                return became
+                return outcomes
 
             def make(rng) -> Wanted:
                 return Wanted("demo", f"shop {rng.randrange(10**9)}", 20)
 
-            # Two engines of two slots, 0.4 s a request: ten a second.
-            answers, became = await asyncio.gather(callers.arrive(50.0, 5.0, make), charge_often())
+            # Capacity: two engines with two slots each, 0.4 s per request, so 10 requests/s.
+            answers, outcomes = await asyncio.gather(
+                callers.arrive(50.0, 5.0, make), charge_often()
+            )
             callers.close()
-            self.assertEqual(set(became), {"whole"})
+            self.assertEqual(set(outcomes), {"whole"})
             kinds = {answer.became for answer in answers}
             self.assertEqual(kinds, {"whole", "refused"})
             refused = [answer for answer in answers if answer.became == "refused"]
             self.assertGreater(len(refused), 100)
             self.assertTrue(all(answer.retry_after >= 1.0 for answer in refused))
             self.assertEqual({answer.code for answer in refused}, {"overloaded"})
-            # The deadline is 5 s; a refusal held back until near it would come after 4 s.
+            # The deadline is 5 s; a refusal delayed until shortly before it would come after 4 s.
             self.assertLess(max(answer.total for answer in refused), 4.0)
             whole = [answer for answer in answers if answer.became == "whole"]
             self.assertGreater(len(whole), 30)
 
     async def test_a_request_that_crashes_engines_stops_after_two(self) -> None:
-        """One prompt kills each engine that runs it, and its caller sends it again and again
-        to both entries. Without a guard all engines go down in turn, and every caller of the
-        fleet is cut off."""
+        """One prompt crashes every engine that runs it, and its caller keeps resending it to both
+        entries. Without a guard all engines would crash in turn, and no caller would be served."""
         async with Cluster() as cluster:
             engines = await self.start(cluster, engines=5, entries=2)
             for engine in engines:
@@ -113,7 +115,7 @@
             self.assertEqual(codes[-2], "request_blocked")
             self.assertEqual(innocent.counts["wrong"] + innocent.counts["mixed"], 0)
             self.assertEqual(innocent.codes["request_blocked"], 0)
-            # Only requests that were in progress at the two deaths may have been cut.
+            # Only requests that were in progress during the two crashes may have failed.
             self.assertLessEqual(innocent.counts["failed"] + innocent.counts["unknown"], 8)
             self.assertEqual(await innocent.generate("afterwards", 5), "whole")
 
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,8 @@
-"""Runs every test file, each in a process of its own, and prints one plain count.
+"""Runs every test file in a separate process and prints the total counts.
 
-A file gets a fresh interpreter so that a leaked task, socket or patched clock in one
-cannot change the verdict on another. Tests listed in KNOWN-RED.txt may fail: they are
-run and printed, and do not count as failed.
+Each file gets a fresh interpreter, so that a task, socket or patched clock leaked by one
+cannot change the result of another. Tests listed in KNOWN-RED.txt may fail: they are
+run and printed, but not counted as failed.
 """
 
 import concurrent.futures
@@ -20,7 +20,7 @@
 
 
 def read_known_red() -> frozenset[str]:
-    """Returns the test ids, one a line up to the first comma, that may fail."""
+    """Returns the ids of the tests that may fail: the text of each line up to the first comma."""
     if not KNOWN_RED_FILE.exists():
         return frozenset()
     lines = KNOWN_RED_FILE.read_text().splitlines()
@@ -28,7 +28,7 @@
 
 
 def find_test_modules() -> list[str]:
-    """Returns the dotted names of every test file, those of real processes first."""
+    """Returns the dotted names of all test files, those under tests/ first."""
     paths = sorted(ROOT.glob("tests/*_test.py")) + sorted(
         path
         for folder in ("wasabidrum", "standins", "bench")
@@ -38,16 +38,16 @@
 
 
 def id_of(test: unittest.TestCase) -> str:
-    """Returns the id of a test, for a subtest that of the test around it."""
+    """Returns the id of a test, or for a subtest the id of the enclosing test."""
     return getattr(test, "test_case", test).id()
 
 
 def run_module_here(name: str) -> int:
-    """Runs one test file in this process and prints its count for the parent to read."""
+    """Runs one test file in this process and prints its counts, which the parent parses."""
     known_red = read_known_red()
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     result = unittest.TextTestRunner(verbosity=1, buffer=False).run(suite)
-    # A test with several failing subtests is listed once for each, and counts once.
+    # A test with several failing subtests has one entry for each, but counts once.
     red = {id_of(test) for test, _ in result.failures + result.errors}
     for test_id in sorted(red):
         print("KNOWN RED" if test_id in known_red else "FAILED", test_id)
@@ -60,8 +60,8 @@
     """Runs one test file in a fresh interpreter.
 
     Returns:
-      How many tests passed, how many failed, and what the file printed. A file that
-      prints no count, because it crashed or hung, counts as one failure.
+      The number of tests that passed, the number that failed, and the output. A file
+      that prints no count, because it crashed or timed out, counts as one failure.
     """
     command = [sys.executable, "-m", "tests.run", name]
     try:
@@ -78,7 +78,7 @@
 
 
 def main() -> int:
-    """Runs the files named on the command line in this process, or else all files."""
+    """Runs the modules named on the command line in this process, or all test files."""
     if len(sys.argv) > 1:
         return max(run_module_here(name) for name in sys.argv[1:])
     passed = failed = 0
--- a/tests/tool_test.py
+++ b/tests/tool_test.py
@@ -1,4 +1,4 @@
-"""The operators' tool against real daemons."""
+"""Tests of the command-line tool for operators, against real daemons."""
 
 import asyncio
 import json
@@ -12,10 +12,10 @@
 
 
 class ToolTest(unittest.IsolatedAsyncioTestCase):
-    """status, explain and rollout say what is so."""
+    """status, explain and rollout report the actual state of the fleet."""
 
     async def run_tool(self, *arguments: str) -> tuple[int, list[str]]:
-        """Runs the tool against the cluster; returns its exit status and lines."""
+        """Runs the tool against the cluster; returns its exit status and output lines."""
         url = f"http://127.0.0.1:{self.cluster.platform_port}/instances"
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -43,7 +43,7 @@
         await self.cluster.publish(self.base)
 
     async def call(self, request_id: str, model: str = "summaries") -> int:
-        """Sends one request under an id of its own; returns the status."""
+        """Sends one request with a given request id; returns the HTTP status."""
         response = await self.cluster.client.fetch(
             f"http://127.0.0.1:{self.entry.caller_port}/v1/completions",
             method="POST",
@@ -53,9 +53,9 @@
         )
         return response.code
 
-    async def test_operators_see_what_is_so(self) -> None:
-        """A rollout, a refused revision, an instance that died and a caller who asks what
-        became of a request: what an operator on call asks first, asked of real daemons."""
+    async def test_operators_see_the_state_of_the_fleet(self) -> None:
+        """Covers what an operator on call needs first: the progress of a rollout, a refused
+        revision, a dead instance, and the outcome of a caller's request."""
         status, lines = await self.run_tool("rollout", "v1", "--json", "--seconds", "60")
         self.assertEqual(status, 0)
         last = json.loads(lines[-1])
@@ -86,11 +86,11 @@
             self.base | {"modles": {}, "limits": {"body_bytes": 0}}
         )
 
-        async def all_say_so() -> bool:
+        async def all_refused() -> bool:
             accounts = [await self.cluster.status(name) for name in self.cluster.members]
             return all(account["refused_revision"] == refused for account in accounts)
 
-        await self.cluster.wait_until(all_say_so, 20.0, "the refused revision at every daemon")
+        await self.cluster.wait_until(all_refused, 20.0, "the refused revision at every daemon")
         status, lines = await self.run_tool("status")
         self.assertEqual(status, 1)
         self.assertRegex(lines[1], f"^REFUSED revision {refused} at all 3 daemons: ")
@@ -105,12 +105,12 @@
         self.assertEqual((await self.run_tool("rollout", "v9", "--seconds", "0"))[0], 1)
 
     async def read_metrics(self, name: str) -> str:
-        """Returns what Prometheus scrapes from a daemon."""
+        """Returns a daemon's metrics in the Prometheus text format."""
         port = self.cluster.members[name].http_port
         response = await self.cluster.client.fetch(f"http://127.0.0.1:{port}/metrics")
         return response.body.decode()
 
-    async def test_both_roles_are_scraped(self) -> None:
+    async def test_both_roles_expose_metrics(self) -> None:
         async def answers() -> bool:
             return await self.call("till-1") == 200
 
@@ -125,6 +125,6 @@
         self.assertIn("wasabidrum_tokens_total 16.0", entry)
         self.assertRegex(sidecar, r'wasabidrum_weight_bytes_total\{source="origin"\} [\d.]+')
 
-    async def test_an_unreachable_list_is_said_so(self) -> None:
+    async def test_an_unreachable_instance_list_is_reported(self) -> None:
         await self.cluster.control("faults", {"instances": "down"})
         self.assertEqual((await self.run_tool("status"))[0], 3)
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real sidecars and engines for the tests of weights."""
+"""A small fleet of real sidecars and simulated engines for the tests of weight distribution."""
 
 import asyncio
 import collections.abc
@@ -14,7 +14,7 @@
 
 
 class WeightsFleet:
-    """Sidecars with engines, the versions that the origin has, and how to watch them."""
+    """Starts sidecars with engines, publishes versions, and reads the state of the rollout."""
 
     def __init__(self, cluster: Cluster, regions: dict[str, str], **links: object) -> None:
         self.cluster = cluster
@@ -35,13 +35,13 @@
         platform_options: tuple[str, ...] = (),
         **settings: object,
     ) -> None:
-        """Starts the platform and all sidecars, some of them behind a proxy."""
+        """Starts the platform and all sidecars, those in `proxied` behind a fault proxy."""
         options = ("--origin-mbit", str(origin_mbit), *platform_options)
         await self.cluster.start_platform(*options)
         if "store" in settings:
             settings["platform"] = self.platform_settings(store=True)
             del settings["store"]
-        await asyncio.gather(*(self.start_one(name, **settings) for name in self.regions))
+        await asyncio.gather(*(self.start_sidecar(name, **settings) for name in self.regions))
         for name in proxied:
             member = self.cluster.members[name]
             _, port, control = await self.cluster.start_proxy(member.http_port)
@@ -49,8 +49,8 @@
             self.proxies[name] = control
         await self.cluster.publish_instances()
 
-    async def start_one(self, name: str, **settings: object) -> Member:
-        """Starts one sidecar with its engine."""
+    async def start_sidecar(self, name: str, **settings: object) -> Member:
+        """Starts one sidecar, with an engine unless one is given."""
         member = await self.cluster.start_sidecar(name, self.regions[name], **settings)
         self.direct_ports[name] = member.http_port
         return member
@@ -65,15 +65,15 @@
         }
         return urls | ({"store": f"{platform}/store"} if store else {})
 
-    async def make(self, version: str, **wanted: object) -> None:
-        """Has the origin hold a version."""
+    async def add_version(self, version: str, **wanted: object) -> None:
+        """Generates a version at the origin."""
         sizes = {"total_bytes": VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self.roots[version] = await self.cluster.make_version(
             **(sizes | {"seed": len(self.roots) + 1} | wanted)
         )
 
-    async def want(self, version: str) -> int:
-        """Publishes a configuration that wants a version; returns its revision."""
+    async def set_target(self, version: str) -> int:
+        """Publishes a configuration with a version as the target; returns its revision."""
         base = make_base(self.roots, version, self.regions, {}, VERSION_BYTES)
         base["links"] = self.links
         model = base["models"]["summaries"]
@@ -84,35 +84,39 @@
             base["endpoints"][name] |= facts
         return await self.cluster.publish(base)
 
-    async def engine(self, name: str) -> dict[str, object]:
-        """Returns what an engine's stand-in counted."""
+    async def engine_counters(self, name: str) -> dict[str, object]:
+        """Returns the counters of a simulated engine."""
         return await self.cluster.counters(self.cluster.members[name].endpoint_port)
 
-    async def weights(self, name: str) -> dict[str, object]:
-        """Returns what a sidecar says of its transfers."""
+    async def transfer_status(self, name: str) -> dict[str, object]:
+        """Returns a sidecar's transfer status."""
         return await self.cluster.get_json(self.direct_ports[name], "/internal/weights")
 
     async def status(self, name: str) -> dict[str, object]:
-        """Returns a sidecar's status, past any proxy."""
+        """Returns a sidecar's status, without going through its proxy."""
         return await self.cluster.get_json(self.direct_ports[name], "/internal/status")
 
-    async def live(self, version: str, names: collections.abc.Iterable[str]) -> bool:
-        """Returns whether a version is in force on some engines."""
-        engines = [await self.engine(name) for name in names]
+    async def is_live(self, version: str, names: collections.abc.Iterable[str]) -> bool:
+        """Returns whether a version is active on all of the named engines."""
+        engines = [await self.engine_counters(name) for name in names]
         return all(engine["active"] == version for engine in engines)
 
-    async def wait_live(self, version: str, names: collections.abc.Iterable[str] = ()) -> None:
-        """Waits until a version is in force on some engines, or on all."""
+    async def wait_until_live(
+        self, version: str, names: collections.abc.Iterable[str] = ()
+    ) -> None:
+        """Waits until a version is active on the named engines, or on all if none is named."""
         names = list(names) or list(self.regions)
-        what = f"{version} live on {names}"
-        await self.cluster.wait_until(lambda: self.live(version, names), LIVE_SECONDS, what)
+        description = f"{version} live on {names}"
+        await self.cluster.wait_until(
+            lambda: self.is_live(version, names), LIVE_SECONDS, description
+        )
 
     async def origin_copies(self) -> float:
-        """Returns how many copies of a whole version the origin has sent so far."""
+        """Returns the bytes that the origin has sent so far, in units of a whole version."""
         return (await self.cluster.counters())["origin_weight_bytes"] / VERSION_BYTES
 
-    async def wait_held(self, name: str, chunks: int) -> None:
-        """Waits until a sidecar has got some chunks of the version being fetched."""
+    async def wait_for_chunks(self, name: str, chunks: int) -> None:
+        """Waits until a sidecar holds a number of chunks of the version that it is fetching."""
 
         async def holds() -> bool:
             status = await self.status(name)
@@ -121,15 +125,15 @@
         await self.cluster.wait_until(holds, LIVE_SECONDS, f"{chunks} chunks at {name}")
 
     async def bad_activations(self) -> int:
-        """Returns how often any engine alive was given partial or mixed weights."""
+        """Returns how often the running engines have activated partial or mixed weights."""
         count = 0
         for name in self.regions:
             if self.cluster.members[name].endpoint.alive:
-                count += (await self.engine(name))["bad_activations"]
+                count += (await self.engine_counters(name))["bad_activations"]
         return count
 
     async def kill(self, *names: str) -> None:
-        """Ends sidecars together with their engines, as a lost instance would."""
+        """Kills sidecars together with their engines, as the loss of their instances would."""
         for name in names:
             member = self.cluster.members[name]
             member.daemon.send(signal.SIGKILL)
--- a/tests/whole_path_test.py
+++ b/tests/whole_path_test.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: publish, distribute, call, change."""
+"""End-to-end test with real processes: publish, distribute, call, change the configuration."""
 
 import json
 import unittest
@@ -9,7 +9,7 @@
 
 
 class WholePathTest(unittest.IsolatedAsyncioTestCase):
-    """A request is served end to end, and a change of the files takes hold."""
+    """Requests are served end to end, and a change of the configuration takes effect."""
 
     async def test_publish_call_and_change(self) -> None:
         async with Cluster() as cluster:
@@ -36,7 +36,7 @@
             async def in_force() -> bool:
                 return (await cluster.status("entry-1"))["revision"] == revision
 
-            await cluster.wait_until(in_force, 5.0, "the overlay in force")
+            await cluster.wait_until(in_force, 5.0, "the overlay to be in force")
             response = await cluster.client.fetch(
                 f"http://127.0.0.1:{entry.caller_port}/services/tally/balance",
                 headers={"Authorization": "Bearer demo-key"},
--- a/tests/whole_system_test.py
+++ b/tests/whole_system_test.py
@@ -1,4 +1,4 @@
-"""The whole system under random failures and changes, from fixed seeds."""
+"""Soak test of the whole system: random failures and changes from fixed seeds."""
 
 import unittest
 
@@ -8,9 +8,10 @@
 
 
 class WholeSystemTest(unittest.IsolatedAsyncioTestCase):
-    """Daemons die, freeze, leave and are replaced while versions and files change and the
-    platform fails, several at a time. A caller would notice a wrong, mixed, lost or doubly run
-    request; an operator would notice a revision that went back or a fleet that never agrees."""
+    """Daemons crash, pause, shut down and are replaced while versions and configuration change
+    and the platform fails, several of these at a time. Guards against requests that are answered
+    wrongly, mixed up, lost or run twice, revisions that go back, and fleets that do not converge.
+    """
 
     async def test_seed_1(self) -> None:
         figures, notes = await play_soak(1, ROUNDS)
