--- a/tests/control_members_test.py
+++ b/tests/control_members_test.py
@@ -1,4 +1,4 @@
-"""Who is there, with real processes: work goes only where an answer can come from."""
+"""Tests of membership with real processes: requests go only to endpoints that can answer."""
 
 import asyncio
 import json
@@ -37,17 +37,17 @@
         await self.cluster.wait_until(all_placed, 30.0, "work at every engine")
 
     async def call(self, count: int) -> list[str]:
-        """Makes some calls at once; returns what became of them."""
+        """Sends requests concurrently; returns their outcomes."""
         self.prompts += count
         prompts = [f"sheet {self.prompts - i}" for i in range(count)]
         return await asyncio.gather(*(self.caller.generate(prompt, 3) for prompt in prompts))
 
     def last_time(self) -> float:
-        """Returns when the entry's last line was written, by its own clock."""
+        """Returns the time of the entry's last log line, by the entry's clock."""
         return json.loads(self.entry.daemon.text().splitlines()[-1])["t"]
 
     def placed_since(self, moment: float) -> dict[str, float]:
-        """Returns when each endpoint was last chosen after a moment, by the entry's log."""
+        """Returns when each endpoint last got a request after `moment`, by the entry's log."""
         last = {}
         for line in self.entry.daemon.text().splitlines():
             event = json.loads(line)
@@ -56,15 +56,15 @@
         return last
 
     async def call_for(self, seconds: float) -> None:
-        """Calls steadily for some seconds."""
+        """Sends requests steadily for a number of seconds."""
         ends = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends:
             await self.call(4)
             await asyncio.sleep(0.05)
 
     async def test_a_rack_dies_while_the_list_is_frozen(self) -> None:
-        """Half of the engines die at once and the platform's list goes on naming them. By the
-        list alone requests would be sent there until it catches up."""
+        """Half of the instances die at once, and the platform's list still contains them. An entry
+        that relied on the list alone would send requests there until the list is updated."""
         await self.call(4)
         died_at = self.last_time()
         for name in list(self.engines)[:3]:
@@ -75,9 +75,9 @@
             self.assertLess(placed.get(name, died_at), died_at + OUT_SECONDS + SLACK_SECONDS)
         self.assertEqual(set(await self.call(8)), {"whole"})
 
-    async def test_a_hung_sidecar_is_out_and_back(self) -> None:
-        """An instance pauses without closing a connection. Its connections look sound, and
-        requests sent there would wait until their deadline."""
+    async def test_a_hung_sidecar_is_excluded_and_readmitted(self) -> None:
+        """A sidecar is paused without closing a connection. Its connections look healthy, and
+        requests sent there would wait until their deadlines."""
         await self.call(4)
         hung_at = self.last_time()
         hung = self.cluster.members["worker-0"].daemon
@@ -97,9 +97,9 @@
 
         await self.cluster.wait_until(back, 15.0, "work at the resumed engine")
 
-    async def test_an_empty_list_and_a_list_of_ghosts(self) -> None:
-        """The list comes back empty, and then full of instances that never were. Callers must
-        notice nothing."""
+    async def test_an_empty_list_and_a_list_of_unknown_instances(self) -> None:
+        """The platform's list is empty, and later contains only instances that do not exist.
+        Requests must still be answered."""
         members = list(self.cluster.members.values())
         await self.cluster.publish_instances([])
         await self.call_for(2.5)
@@ -116,8 +116,8 @@
         self.assertIn('"event":"list_implausible"', self.entry.daemon.text())
 
     async def test_a_leaving_instance_gets_no_new_work(self) -> None:
-        """An operator replaces an instance, which the list calls live for minutes. New work
-        that still goes there would be refused or cut."""
+        """An operator replaces an instance, which the list still calls live for minutes. New
+        requests sent there would be refused or interrupted."""
         await self.call(4)
         left_at = self.last_time()
         leaving = self.cluster.members["worker-1"].daemon
--- a/tests/control_partition_test.py
+++ b/tests/control_partition_test.py
@@ -1,7 +1,7 @@
-"""Daemons' peer nodes over real sockets in one process, and a network that can be cut.
+"""Tests of peer nodes in a network partition, over real sockets in one process.
 
-The cut is made where a node opens a stream or a call, so that both sides go on with what
-they have, as in a partition.
+The partition is simulated where a node opens a stream or a call, so that both sides keep
+running with the state that they have.
 """
 
 import asyncio
@@ -28,12 +28,12 @@
 EACH = 4
 WAIT_SECONDS = 15.0
 
-# The data centre of the node that is running; its tasks inherit it.
+# The data centre of the node whose code is running; tasks inherit it from their creator.
 SIDE: contextvars.ContextVar[str] = contextvars.ContextVar("SIDE")
 
 
 class FakeDirectory:
-    """The platform's list, the same for all."""
+    """An instance list that is the same for all nodes."""
 
     def __init__(self) -> None:
         self.instances: tuple[Instance, ...] = ()
@@ -44,7 +44,7 @@
 
 
 class Network:
-    """Carries calls between nodes, but not between sides while it is cut."""
+    """Passes calls between nodes, except between the two sides during a partition."""
 
     def __init__(self) -> None:
         self.side_of: dict[int, str] = {}
@@ -56,18 +56,18 @@
         self._fetch = peer_client.fetch_configuration
 
     async def set_cut(self, cut: bool) -> None:
-        """Cuts the network between the sides, or heals it; nothing is left on its way then."""
+        """Starts or ends the partition; on a start, waits until no stream crosses it any more."""
         (self.cut if cut else self.whole).set()
         (self.whole if cut else self.cut).clear()
         while cut and self.crossing:
             await asyncio.sleep(0.01)
 
     def crosses(self, port: int) -> bool:
-        """Returns whether the running node's call to a port goes to the other side."""
+        """Returns whether a call of the running node to a port goes to the other side."""
         return self.side_of.get(port) != SIDE.get()
 
     async def watch(self, host: str, port: int, link: object) -> None:
-        """See peer_client.watch; a stream across the cut ends, and none opens."""
+        """See peer_client.watch; streams across the partition end, and none are opened."""
         self.crossing += self.crosses(port)
         watching = asyncio.ensure_future(self._watch(host, port, link))
         cut = asyncio.ensure_future(self.cut.wait() if self.crosses(port) else asyncio.sleep(3600))
@@ -91,7 +91,7 @@
 
 
 class Daemon:
-    """The part of a daemon that follows the files and the others."""
+    """The part of a daemon that follows the configuration and its peers."""
 
     def __init__(self, name: str, side: str, directory: FakeDirectory) -> None:
         self.service = FakeService()
@@ -108,7 +108,7 @@
         self.highest = 0
 
     def status(self) -> Status:
-        """Returns the node's account of itself."""
+        """Returns the node's status."""
         self._sequence += 1
         self.highest = max(self.highest, self.follower.revision)
         return Status(
@@ -128,18 +128,18 @@
         )
 
     def instance(self) -> Instance:
-        """Returns what the platform lists."""
+        """Returns the node's entry in the instance list."""
         role, side, port = InstanceRole.SIDECAR, self._side, self.node.peer_port
         return Instance(self._name, role, side, side, "127.0.0.1", 1, port)
 
 
 def fail(name: str, error: BaseException) -> None:
-    """Shows a task that failed."""
+    """Raises an error for a background task that failed."""
     raise AssertionError(name) from error
 
 
 class ControlPartitionTest(unittest.IsolatedAsyncioTestCase):
-    """Four nodes in each of two data centres, each with a service of its own."""
+    """Four nodes in each of two data centres, each node with its own configuration service."""
 
     async def asyncSetUp(self) -> None:
         self.network = Network()
@@ -163,28 +163,29 @@
         await self.wait_for(lambda d: len(self.usable(d)) == len(self.daemons) - 1)
 
     def usable(self, daemon: Daemon) -> list[str]:
-        """Returns whom a daemon holds to be there."""
+        """Returns the names of the peers that a daemon considers usable."""
         now = asyncio.get_running_loop().time()
         return [record.name for record in daemon.node.table.usable(now)]
 
     async def wait_for(self, holds: collections.abc.Callable[[Daemon], object]) -> None:
-        """Waits until something holds at every daemon."""
+        """Waits until a condition holds for every daemon."""
         ends = time.monotonic() + WAIT_SECONDS
         while not all(holds(daemon) for daemon in self.daemons.values()):
             self.assertLess(time.monotonic(), ends)
             await asyncio.sleep(0.05)
 
     def at(self, side: str) -> list[Daemon]:
-        """Returns the daemons of one side."""
+        """Returns the daemons of one side, or all if `side` is empty."""
         return [daemon for name, daemon in self.daemons.items() if name.startswith(side)]
 
     def serve(self, revision: int, side: str = "", text: str = "") -> None:
-        """Has the service of one side, or of both, serve a revision."""
+        """Makes the services of one side, or of both, serve a revision."""
         for daemon in self.at(side):
             daemon.service.value = make_value(revision, text)
 
     async def agree(self, revision: int, side: str = "") -> None:
-        """Waits until the daemons of one side, or all, have a revision in force."""
+        """Waits until a revision is in force at the daemons of one side, or at all, and checks that
+        no daemon goes back to an older one."""
         ends = time.monotonic() + WAIT_SECONDS
         while {d.follower.revision for d in self.at(side)} != {revision}:
             self.assertLess(time.monotonic(), ends, [d.follower.revision for d in self.at(side)])
@@ -192,9 +193,12 @@
                 self.assertGreaterEqual(daemon.follower.revision, daemon.highest)
             await asyncio.sleep(0.05)
 
-    async def test_both_sides_of_a_partition_read_on_and_agree_once_it_heals(self) -> None:
-        """A region loses the others, and the service's copies differ: one side reads three more
-        revisions, the other one. Once healed all must have the highest, and none goes back."""
+    async def test_both_sides_of_a_partition_follow_their_service_and_converge_after_it(
+        self,
+    ) -> None:
+        """Two data centres are partitioned and their service copies differ: one side reads
+        revisions 3 and 6, the other revision 4. After the partition all must have the highest
+        revision, and none may go back."""
         await self.network.set_cut(True)
         self.serve(3, SIDES[0])
         await self.agree(3, SIDES[0])
@@ -203,7 +207,7 @@
         await self.agree(4, SIDES[1])
         self.serve(6, SIDES[0])
         await self.agree(6, SIDES[0])
-        # Each side goes on with its own members and calls them alive.
+        # Each side still considers its own members usable.
         for daemon in self.at(SIDES[0]):
             own = [name for name in self.usable(daemon) if name.startswith(SIDES[0])]
             self.assertEqual(len(own), EACH - 1)
@@ -211,8 +215,8 @@
         await self.agree(6)
 
     async def test_two_readers_read_different_revisions(self) -> None:
-        """The service has several copies and one lags. The daemons that hear of the newer must
-        keep it, whichever reader spoke last."""
+        """The service has several copies and one lags. Daemons that have received the newer
+        revision must keep it, whichever reader reported last."""
         await self.wait_for(lambda d: len(d.node.plan.readers(SIDES[0])) == 2)
         names = self.at(SIDES[0])[0].node.plan.readers(SIDES[0])
         readers = [self.daemons[name] for name in names]
@@ -224,17 +228,17 @@
         await self.agree(9)
 
     async def test_a_watch_that_hangs_without_closing(self) -> None:
-        """The service of one data centre accepts the watch and never answers. Its readers are
-        deaf and do not know; its sites must hear of the change from the others."""
+        """The service in one data centre accepts the watch and never answers. Its readers cannot
+        detect that, so its daemons must learn of the change from the other data centre."""
         for daemon in self.at(SIDES[0]):
             daemon.service.fault = "hang"
         self.serve(7, SIDES[1])
         await self.agree(7)
 
-    async def test_two_contents_under_one_number_are_told_everywhere(self) -> None:
-        """The service was restored and published again under a number already used, and its
-        copies differ. No site may change its mind; every daemon must raise the alarm, and the
-        next revision ends it."""
+    async def test_two_contents_of_one_revision_raise_an_alarm_everywhere(self) -> None:
+        """The service was restored and reused a revision number, so that its copies differ. No
+        daemon may replace the content that it has; every daemon must raise an alarm, which the
+        next revision clears."""
         await self.network.set_cut(True)
         self.serve(3, SIDES[0], "a")
         self.serve(3, SIDES[1], "b")
--- a/tests/control_revision_test.py
+++ b/tests/control_revision_test.py
@@ -1,4 +1,4 @@
-"""What the files say is in force everywhere and never reverts, with real processes."""
+"""Tests of configuration revisions with real processes: each reaches all and none reverts."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 class ControlRevisionTest(unittest.IsolatedAsyncioTestCase):
-    """Six sidecars and two entries in two data centres, before one stand-in engine."""
+    """Six sidecars, which share one simulated engine, and two entries in two data centres."""
 
     async def asyncSetUp(self) -> None:
         self.cluster = await self.enterAsyncContext(Cluster())
@@ -35,17 +35,17 @@
         await self.in_force(revision)
 
     async def publish(self, **limits: object) -> int:
-        """Publishes the base with some limits; returns the revision."""
+        """Publishes the base configuration with the given limits; returns the revision."""
         return await self.cluster.publish(self.base | {"limits": limits})
 
     async def revisions(self) -> dict[str, int]:
-        """Returns the revision in force at every living daemon."""
+        """Returns the revision in force at each running daemon."""
         alive = [name for name, m in self.cluster.members.items() if m.daemon.alive]
         statuses = await asyncio.gather(*(self.cluster.status(name) for name in alive))
         return {status["name"]: status["revision"] for status in statuses}
 
     async def in_force(self, revision: int) -> None:
-        """Waits until a revision is in force at every living daemon."""
+        """Waits until a revision is in force at every running daemon."""
 
         async def everywhere() -> bool:
             return set((await self.revisions()).values()) == {revision}
@@ -53,7 +53,7 @@
         await self.cluster.wait_until(everywhere, IN_FORCE_SECONDS, f"{revision} everywhere")
 
     async def readers(self) -> list[Member]:
-        """Returns the daemons that read the service."""
+        """Returns the daemons that read the configuration service."""
         found = []
         for name, member in self.cluster.members.items():
             if member.daemon.alive and (await self.cluster.status(name))["reads_service"]:
@@ -61,7 +61,7 @@
         return found
 
     async def settle(self) -> list[Member]:
-        """Waits until two daemons of each data centre read the service, and returns them."""
+        """Waits until there are two readers per data centre, and returns all readers."""
 
         async def settled() -> bool:
             return len(await self.readers()) == 2 * len(REGIONS)
@@ -70,9 +70,9 @@
         return await self.readers()
 
     async def test_all_readers_of_a_data_centre_killed_at_once(self) -> None:
-        """A rack dies with both daemons that read the service for their data centre. Without
-        others taking over, its sites would stay on the old revision, and operators would see
-        a change that is in force in one region only."""
+        """Both daemons that read the service for their data centre die together. If no others
+        took over, that data centre would stay on the old revision, and a change would be in
+        force in one region only."""
         readers = await self.settle()
         for member in readers:
             if member.region == REGIONS[0]:
@@ -82,9 +82,8 @@
         await self.in_force(await self.publish(body_bytes=2000))
 
     async def test_service_back_with_an_old_revision(self) -> None:
-        """The service is restored from an old copy and serves the revision before last. A new
-        process asks it and, without asking its peers first, would serve under limits that
-        operators changed an hour ago."""
+        """The service is restored from an old copy and serves an outdated revision. A new process
+        that did not ask its peers first would apply limits that operators have since changed."""
         old = self.cluster.revision
         await self.publish(body_bytes=1000)
         new = await self.publish(body_bytes=2000)
@@ -101,16 +100,16 @@
         self.assertIn('"event":"revision_old_offered"', text)
         self.assertNotIn('"event":"configuration_alone"', late.daemon.text())
 
-    async def test_a_new_process_with_nobody_to_ask_says_so(self) -> None:
-        """A process starts cut off from every peer while the service is stale. It cannot know
-        better; operators must see that it took the service's word alone."""
+    async def test_a_new_process_without_peers_reports_it(self) -> None:
+        """A process starts without any peer, so it cannot detect a stale service. Its log must
+        show that it relied on the service alone."""
         await self.cluster.publish_instances([])
         lone = await self.cluster.start_sidecar("worker-9", "msa-a", endpoint=self.engine)
         await lone.daemon.read_event("configuration_alone")
 
     async def test_a_process_paused_through_ten_revisions(self) -> None:
-        """An instance pauses, ten revisions pass, and it wakes believing the first. It must
-        catch up, and nobody may take the old one from it."""
+        """A reader and another daemon are paused during ten revisions and resume with the one
+        before. They must catch up, and no peer may accept the old revision from them."""
         reader = (await self.settle())[0]
         paused = next(m for m in self.cluster.members.values() if m is not reader)
         for member in (reader, paused):
@@ -123,28 +122,28 @@
         await self.in_force(revision)
         await paused.daemon.read_event("process_paused")
 
-    async def test_an_invalid_revision_is_accepted_nowhere_and_told_everywhere(self) -> None:
-        """Someone publishes a value with a wrong type. Every site must keep the one before, and
-        operators must read at any daemon which revision was refused and why."""
+    async def test_an_invalid_revision_is_refused_and_reported_everywhere(self) -> None:
+        """Someone publishes a value with a wrong type. Every daemon must keep the previous
+        revision, and report in its status which revision was refused and why."""
         good = self.cluster.revision
         bad = await self.cluster.publish(self.base | {"limits": {"body_bytes": "many"}})
 
-        async def told() -> bool:
+        async def reported() -> bool:
             statuses = [await self.cluster.status(name) for name in self.cluster.members]
             return all(
                 status["refused_revision"] == bad and "body_bytes" in status["refused_reason"]
                 for status in statuses
             )
 
-        await self.cluster.wait_until(told, IN_FORCE_SECONDS, "the refusal everywhere")
+        await self.cluster.wait_until(reported, IN_FORCE_SECONDS, "the refusal everywhere")
         self.assertEqual(set((await self.revisions()).values()), {good})
         await self.in_force(await self.publish(body_bytes=3000))
         statuses = [await self.cluster.status(name) for name in self.cluster.members]
         self.assertEqual({status["refused_revision"] for status in statuses}, {0})
 
     async def test_a_value_just_under_and_just_over_a_megabyte(self) -> None:
-        """The fleet file grows to the largest value that the service holds, and past it. The
-        first must reach everyone; the second must change nothing."""
+        """The configuration grows to the largest value that the service accepts, and beyond. The
+        first must reach every daemon; the second must have no effect."""
         endpoint = {"region": REGIONS[0], "service": "tally"}
         endpoints = {}
         for number in range(40):
--- a/tests/load_policy_test.py
+++ b/tests/load_policy_test.py
@@ -1,4 +1,4 @@
-"""Decisions under load, with a paused clock and fakes, judged by what callers receive."""
+"""Tests of admission and routing under load, with a simulated clock and a fake fleet."""
 
 import asyncio
 import collections
@@ -6,12 +6,12 @@
 
 from tests.fake_fleet import Answer, FakeFleet, percentile, run_with_paused_clock
 
-# Four engines of four slots, ten tokens of 20 ms each: 80 requests a second.
+# Requests per second: four engines with four slots, ten tokens of 20 ms per request.
 CAPACITY = 80.0
 
 
 def run(fleet: FakeFleet, scenario) -> None:
-    """Plays a scenario to its end."""
+    """Runs a scenario to its end."""
 
     async def play() -> None:
         await fleet.start()
@@ -22,16 +22,16 @@
 
 
 def whole(answers: list[Answer]) -> list[Answer]:
-    """Returns the answers that came whole."""
+    """Returns the complete answers."""
     return [answer for answer in answers if answer.became == "whole"]
 
 
 class OverloadTest(unittest.TestCase):
-    """Too much work: what is served is served in time, the rest is told at once."""
+    """Under overload, accepted requests are served in time and the others are refused at once."""
 
     def test_a_burst_of_five_times_capacity(self) -> None:
-        """A campaign sends five times what the fleet can do. Without admission all of it
-        queues at the engines, and every caller waits until nearly all have left."""
+        """Requests arrive at five times the fleet's capacity. Without admission control all of
+        them would queue at the engines, and most callers would time out."""
         calm, burst = FakeFleet(), FakeFleet()
         run(calm, lambda: calm.arrive(CAPACITY, 20.0, deadline=2.0))
         run(burst, lambda: burst.arrive(5 * CAPACITY, 20.0, deadline=2.0))
@@ -42,8 +42,8 @@
         self.assertEqual(set(became), {"whole", "overloaded"})
 
     def test_a_refused_caller_is_told_at_once_when_to_come_back(self) -> None:
-        """The fleet is full all night. A refusal that comes only when the caller's time has
-        nearly passed leaves an attendant before a spinner for nothing."""
+        """The fleet is overloaded for a long time. A refusal that comes only shortly before the
+        deadline makes the caller wait for nothing."""
         fleet = FakeFleet()
         run(fleet, lambda: fleet.arrive(3 * CAPACITY, 20.0, deadline=20.0))
         refused = [answer for answer in fleet.answers if answer.became == "overloaded"]
@@ -53,8 +53,8 @@
         self.assertEqual(percentile([answer.total for answer in refused], 0.9), 0.0)
 
     def test_what_cannot_finish_in_time_is_refused_before_it_queues(self) -> None:
-        """A caller allows 100 ms for an answer that takes 200. Run all the same, it fills a
-        slot that another could have used, and its caller has left."""
+        """A caller allows 100 ms for an answer that takes 200 ms. If it ran, it would occupy a slot
+        that another request could use, and its caller would have left."""
         fleet = FakeFleet()
 
         async def scenario() -> None:
@@ -68,8 +68,8 @@
         run(fleet, scenario)
 
     def test_the_limit_finds_the_engines_slots(self) -> None:
-        """Each entry thinks that it has the engines for itself. Their queues grow inside
-        the engines, where neither class nor share count."""
+        """If each entry assumed that it had the engines for itself, queues would grow inside the
+        engines, where neither priority classes nor fair shares apply."""
         fleet = FakeFleet(entries=8, engines=4, slots=4)
         run(fleet, lambda: fleet.arrive(3 * CAPACITY, 30.0, deadline=5.0))
         late = [a for a in whole(fleet.answers) if a.began > 1010.0]
@@ -77,8 +77,8 @@
         self.assertLess(percentile([answer.first for answer in late], 0.95), 1.2)
 
     def test_lost_reports_do_not_stop_the_fleet(self) -> None:
-        """The control traffic is cut while requests go on. If limits shrink for want of
-        reports, an entry refuses everything before engines that idle."""
+        """Load reports are lost while requests continue. If limits shrank without reports, an
+        entry would refuse everything although the engines are idle."""
         fleet = FakeFleet()
 
         async def scenario() -> None:
@@ -92,11 +92,11 @@
 
 
 class FairnessTest(unittest.TestCase):
-    """One workspace asks for too much: the others do not notice."""
+    """A workspace that sends too much does not affect the others."""
 
     def test_a_hot_workspace(self) -> None:
-        """At midnight one workspace sends ten times its share. First come, first served
-        gives it nearly everything, and the others wait behind its backlog."""
+        """One workspace sends ten times its share. With first come, first served it would get
+        nearly all capacity, and the others would wait behind its backlog."""
         names = [f"w{number}" for number in range(9)]
         capacity = 2 * CAPACITY
 
@@ -123,8 +123,8 @@
         self.assertLessEqual(after, 1.2 * before)
 
     def test_long_jobs_among_short_ones(self) -> None:
-        """A speech of 500 tokens is asked for beside drafts of ten. Where a request counts
-        as a request, long ones fill all slots, and short ones wait for seconds."""
+        """Requests of 500 tokens arrive among requests of ten. If fairness counted requests and
+        not tokens, long ones would fill all slots, and short ones would wait for seconds."""
 
         def play(long_rate: float) -> list[Answer]:
             fleet = FakeFleet(engines=8)
@@ -145,11 +145,11 @@
 
 
 class RoutingTest(unittest.TestCase):
-    """Where work goes, and how quickly that changes."""
+    """How requests are distributed, and how quickly that adapts."""
 
     def test_many_entries_with_late_reports_do_not_herd(self) -> None:
-        """Twenty entries read the same reports, a second old. Each sends to whoever looked
-        idle, all to the same one, and engines are flooded in turn."""
+        """Twenty entries have the same load reports, one second old. If all of them chose the
+        engine that looked least loaded, they would overload one engine after another."""
         fleet = FakeFleet(engines=10, entries=20)
         fleet.report_lag = 1.0
         busiest: list[float] = []
@@ -172,8 +172,8 @@
         self.assertGreater(len(whole(fleet.answers)), 0.97 * len(fleet.answers))
 
     def test_one_slow_endpoint_loses_its_share_and_wins_it_back(self) -> None:
-        """An engine decodes ten times slower than its peers but answers health checks.
-        Callers whose requests land there wait ten times as long, one in four of all."""
+        """An engine decodes ten times slower than its peers but answers health checks. Requests
+        routed there take ten times as long."""
         fleet = FakeFleet(engines=8)
         slow = fleet.engines[0]
 
@@ -198,8 +198,8 @@
         self.assertLessEqual(after, 1.3 * calm)
 
     def test_a_paused_endpoint_loses_its_share(self) -> None:
-        """An engine's process is paused in the middle of answers. No token comes that could
-        tell it is slow, and its sidecar goes on reporting; whoever is sent there waits."""
+        """An engine's process is paused in the middle of answers. No token shows that it is slow,
+        and its sidecar still reports, so requests routed there would wait."""
         fleet = FakeFleet(engines=8)
 
         async def scenario() -> None:
@@ -214,8 +214,8 @@
         run(fleet, scenario)
 
     def test_an_endpoint_that_refuses_everything_draws_no_traffic(self) -> None:
-        """An engine refuses in a millisecond, so it always looks idle. Least-loaded routing
-        sends it everything, and callers see errors beside seven healthy engines."""
+        """An engine refuses within a millisecond, so it always looks idle. Least-loaded routing
+        would send it everything, and callers would get errors despite seven healthy engines."""
         fleet = FakeFleet(engines=8)
 
         async def scenario() -> None:
@@ -227,8 +227,8 @@
         self.assertGreater(len(whole(fleet.answers)), 0.99 * len(fleet.answers))
 
     def test_all_endpoints_refuse(self) -> None:
-        """Every engine fails. Retries of retries multiply the load that the fleet already
-        could not carry, and it stays down when the cause has gone."""
+        """Every engine refuses. Unbounded retries would multiply the load, and the fleet would
+        stay overloaded after the cause has gone."""
         fleet = FakeFleet(engines=8)
 
         async def scenario() -> None:
@@ -249,8 +249,8 @@
         self.assertGreater(len(whole(last)), 0.98 * len(last))
 
     def test_a_hot_prefix(self) -> None:
-        """Half of all prompts begin with the same instruction. Sent to the one engine that
-        holds it, they overload it while the others idle."""
+        """Half of all prompts begin with the same instruction. If all went to the one engine that
+        has it cached, that engine would be overloaded while the others are idle."""
         fleet = FakeFleet(engines=8)
         hot = "instruction " * 100
 
@@ -265,9 +265,9 @@
         self.assertLessEqual(max(placed), 1.3 * sum(placed) / len(placed))
         self.assertGreater(len(whole(fleet.answers)), 0.98 * len(fleet.answers))
 
-    def test_the_thin_link_is_crossed_only_when_the_region_is_full(self) -> None:
-        """Engines in another region look as idle as those at home. Their answers cross a
-        link of 13 Mbit/s that carries billing traffic, for nothing."""
+    def test_the_link_between_regions_is_used_only_when_the_region_is_full(self) -> None:
+        """Engines in another region look as idle as local ones, but their answers would use a
+        link of 13 Mbit/s that also carries billing traffic."""
         places = {f"e{number}": "q-1" for number in range(4, 8)}
         fleet = FakeFleet(engines=8, data_centres=places)
 
@@ -281,8 +281,8 @@
         self.assertGreater(sum(fleet.placed[name] for name in places), 200)
 
     def test_entries_that_see_different_lists(self) -> None:
-        """A partition leaves each entry with another half of the list. Where entries would
-        have to agree on who serves what, both halves would refuse or flood the overlap."""
+        """A partition leaves each entry with a different half of the list. If routing required
+        entries to agree on assignments, they would refuse requests or overload the overlap."""
         fleet = FakeFleet(engines=8, entries=4)
         for number, table in enumerate(fleet.tables):
             kept = [i for i in range(8) if (i + number) % 4 < 2]
@@ -294,13 +294,13 @@
         self.assertGreater(len(whole(fleet.answers)), 0.95 * len(fleet.answers))
 
 
-class PoisonTest(unittest.TestCase):
+class CrashingRequestTest(unittest.TestCase):
     """A request that crashes engines."""
 
     def test_it_stops_after_two_engines_at_all_entries(self) -> None:
-        """One prompt kills each engine that runs it, and its caller sends it again and
-        again to every entry. Without a guard all engines go down in turn, and with each
-        die the innocent requests beside it."""
+        """One prompt crashes every engine that runs it, and its caller keeps resending it to every
+        entry. Without a guard all engines would crash in turn, each with the unrelated
+        requests that it runs."""
         fleet = FakeFleet(engines=8, entries=4)
         for engine in fleet.engines:
             engine.poison_text = "poison"
@@ -325,11 +325,11 @@
 
 
 class WorkspaceLimitTest(unittest.TestCase):
-    """A limit in the files is in force, whatever a workspace sends."""
+    """A configured limit applies whatever a workspace sends."""
 
     def test_a_workspace_over_its_limit(self) -> None:
-        """A workspace that may generate a hundred tokens a second asks for four hundred, over
-        two entries. Unlimited, it gets them, at the cost of those who were promised the rest."""
+        """A workspace with a limit of 100 tokens/s requests 400 tokens/s through two entries.
+        Without enforcement it would get them, at the expense of other workspaces."""
         fleet = FakeFleet(entries=2, limits={"w": 100.0})
         run(fleet, lambda: fleet.arrive(40.0, 60.0, workspace="w"))
         became = collections.Counter(answer.became for answer in fleet.answers)
--- a/tests/mutual_tls_test.py
+++ b/tests/mutual_tls_test.py
@@ -1,4 +1,4 @@
-"""The fleet's processes take work, orders and peer messages only from the fleet."""
+"""Tests of mutual TLS: daemons accept requests and peer messages only from their fleet."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
 
 
 def make_client_context(settings: dict[str, str] | None) -> ssl.SSLContext:
-    """Returns a context that shows a certificate, or none."""
+    """Returns a client context with a certificate, or without one."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
@@ -34,7 +34,7 @@
 
 
 class MutualTlsTest(unittest.IsolatedAsyncioTestCase):
-    """An entry and a sidecar with certificates, and strangers who knock."""
+    """An entry and a sidecar with certificates, and clients from outside the fleet."""
 
     async def asyncSetUp(self) -> None:
         self.cluster = await self.enterAsyncContext(Cluster())
@@ -53,7 +53,7 @@
         await self.wait_for_answer()
 
     async def wait_for_answer(self) -> None:
-        """Waits until a request is answered whole."""
+        """Waits until a request is answered completely."""
 
         async def answers() -> bool:
             return await self.caller.generate("hello", 3) == "whole"
@@ -61,7 +61,7 @@
         await self.cluster.wait_until(answers, 30.0, "the first whole answer")
 
     async def order(self, member: Member, context: ssl.SSLContext | None) -> int:
-        """Sends work straight to a daemon's own port; returns the status, or 0 for none."""
+        """Sends a request directly to a daemon's internal port; returns the status, 0 if none."""
         scheme = "https" if context else "http"
         try:
             response = await self.cluster.client.fetch(
@@ -80,10 +80,10 @@
         counters = await self.cluster.counters(self.sidecar.endpoint_port)
         return counters["generated"]
 
-    async def test_strangers_are_turned_away(self) -> None:
-        """Someone inside the network finds a daemon's port and sends it work, or opens a peer
-        stream, without a certificate or with one of another fleet. Without mutual TLS the
-        engine would run it, past every key and limit of the workspaces."""
+    async def test_clients_from_outside_the_fleet_are_refused(self) -> None:
+        """A client in the network sends a request to a daemon's internal port, or a call to its
+        peer port, without a certificate or with one of another fleet. Without mutual TLS the
+        engine would run it, bypassing the API keys and limits of the workspaces."""
         before = await self.generated()
         stranger = Authority("stranger").write(self.folder, "stranger")
         for context in (None, make_client_context(None), make_client_context(stranger)):
@@ -103,9 +103,9 @@
         self.assertEqual(await self.caller.generate("hello", 3), "whole")
 
     async def test_chunks_travel_between_sidecars(self) -> None:
-        """A second sidecar joins and takes its weights from the first. Both ends of a peer's
-        transfer have to speak TLS, or a fleet with certificates would draw every copy from
-        the origin, or never be live."""
+        """A second sidecar joins and fetches weights from the first. Both ends of a peer transfer
+        must use TLS; otherwise a fleet with certificates would fetch every copy from the
+        origin, or never become live."""
         settings = self.authority.write(self.folder, "worker-2")
         second = await self.cluster.start_sidecar("worker-2", "rift-a", tls=settings)
         await self.cluster.publish_instances()
@@ -121,9 +121,9 @@
         self.assertLess(again, VERSION_BYTES)
 
     async def test_certificates_change_without_a_restart(self) -> None:
-        """Certificates last a day and are replaced on every instance while it serves; for a
-        moment a new certificate lies beside the old key. A daemon that had to be restarted
-        for it would cut requests off, and one that took the half pair would stop answering."""
+        """Certificates are valid for a day and are replaced on every instance while it serves; for
+        a moment a new certificate is stored beside the old key. A restart would interrupt
+        requests, and a daemon that loaded the mismatched pair would stop answering."""
         files = {what: self.folder / f"worker-1-{what}.pem" for what in ("certificate", "key")}
         old_key = files["key"].read_bytes()
         self.authority.write(self.folder, "worker-1")
@@ -138,9 +138,9 @@
         shown = ssl.get_server_certificate(("127.0.0.1", self.sidecar.http_port))
         self.assertEqual(x509.load_pem_x509_certificate(shown.encode()).serial_number, new_serial)
 
-    async def test_a_daemon_without_sound_certificates_does_not_start(self) -> None:
-        """An instance comes up before its certificates do. Started without them it would take
-        work from anyone; so it says what is missing and ends."""
+    async def test_a_daemon_without_valid_certificates_does_not_start(self) -> None:
+        """An instance starts before its certificates are present. A daemon that ran without them
+        would accept requests from anyone, so it reports what is missing and exits."""
         missing = {what: str(pathlib.Path(self.folder) / "none") for what in ("certificate", "key")}
         with self.assertRaisesRegex(Exception, "TLS-INVALID"):
             await self.cluster.start_entry("entry-9", "rift-a", tls=missing | {"authority": "x"})
--- a/tests/outcomes_charges_test.py
+++ b/tests/outcomes_charges_test.py
@@ -1,4 +1,4 @@
-"""Charges under failures: each runs at most once, and every outcome is the truth."""
+"""Tests of charges under failures: each runs at most once, and the reported outcome is correct."""
 
 import asyncio
 import signal
@@ -9,22 +9,22 @@
 
 
 class ChargeTest(unittest.IsolatedAsyncioTestCase):
-    """Runs are counted at the endpoint, in a journal that outlives its crash."""
+    """Executions are counted at the endpoint, in a journal that survives its crash."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await self.enterAsyncContext(OutcomesFleet())
         await self.fleet.start_all(["tally-1", "tally-2"], [])
 
     async def faults(self, **faults: object) -> None:
-        """Sets the same faults at both services."""
+        """Injects the same faults into both services."""
         for name in ("tally-1", "tally-2"):
             await self.fleet.put_faults(self.fleet.members[name].endpoint_port, **faults)
 
     async def test_service_killed_before_and_after_the_run(self) -> None:
-        """The service dies with a charge in hand, before it ran it or just after.
+        """The service crashes while it handles a charge, either before or after executing it.
 
-        The caller must be told "unknown": "not run" would be a guess, and a second run a
-        second charge on the same copies.
+        The outcome must be "unknown": the entry cannot tell whether the charge ran, so "not
+        run" could be false, and running it again could charge the caller twice.
         """
         await self.faults(crash_before="before")
         became, told = await self.fleet.charge("before")
@@ -45,10 +45,10 @@
         return (await self.fleet.charge("probe"))[0] == "whole"
 
     async def test_service_already_dead_is_not_run_there_and_runs_elsewhere(self) -> None:
-        """A service died while idle; its sidecar is well and takes the charge.
+        """A service died while idle; its sidecar is healthy and accepts the charge.
 
-        Nothing reached the service, so the charge may run at the other one, and the caller
-        at the till need not see an error.
+        Nothing reached the service, so the charge can run at the other one without an error
+        for the caller.
         """
         await self.fleet.members["tally-1"].endpoint.kill()
         for number in range(6):
@@ -58,10 +58,11 @@
             self.assertEqual(became, "whole", told)
 
     async def test_entry_killed_and_caller_resends_to_another(self) -> None:
-        """An entry dies with a charge in flight, and the caller resends with its key.
+        """An entry dies while a charge is in progress, and the caller resends it with its
+        idempotency key.
 
-        The second entry knows nothing of the first copy; without the key it would send the
-        charge to be run again, and the family pays twice.
+        The second entry does not know of the first request; without the key it would have the
+        charge run again.
         """
         await self.faults(delay_after_seconds=0.8)
         key = await self.fleet.issue_key()
@@ -77,10 +78,10 @@
         self.assertEqual((told["run"], told["by"]), (kept["run"], kept["by"]))
 
     async def test_paused_sidecars_do_not_start_a_call_after_its_deadline(self) -> None:
-        """Sidecars are paused with a charge in their sockets, and wake after its deadline.
+        """Sidecars are paused with a charge in their socket buffers, and resume after its deadline.
 
-        The caller has been told "unknown" and has turned to another stall; a charge that
-        starts now bills for copies that were never made.
+        The caller has already received "unknown" and may have ordered elsewhere; a charge that
+        starts now would be unwanted.
         """
         for name in ("tally-1", "tally-2"):
             self.fleet.members[name].daemon.send(signal.SIGSTOP)
@@ -96,13 +97,12 @@
         fresh, _ = await self.fleet.charge("late", entry=1, key=told["idempotency_key"])
         self.assertEqual((fresh, self.fleet.runs("late")), ("whole", 1))
 
-    async def test_an_entry_that_never_heard_the_sidecar_tells_it_the_deadline_too(self) -> None:
-        """Sidecars are paused; an entry that has just started, and has not heard them yet, gets
-        a charge with a key of theirs. They wake after its deadline and read it for the first time.
+    async def test_an_entry_without_reports_of_the_sidecar_also_sends_the_deadline(self) -> None:
+        """Sidecars are paused; an entry that has just started, and has no reports from them yet,
+        gets a charge with a key that they issued. They resume and read it after its deadline.
 
-        The caller has been told "unknown" and has turned to another stall. A deadline that
-        counts from when the charge is read lets it start all the same, and the shop pays for
-        copies that were never made.
+        The caller has already received "unknown" and may have ordered elsewhere. If the deadline
+        were counted from when the sidecar reads the charge, the charge would still start.
         """
         key, probe = await self.fleet.issue_key(), await self.fleet.issue_key()
         for name in ("tally-1", "tally-2"):
@@ -126,11 +126,11 @@
         again, told = await self.fleet.charge("unheard", entry=2, key=key)
         self.assertIn((again, self.fleet.runs("unheard")), [("whole", 1), ("not_run", 0)], told)
 
-    async def test_owner_replaced_and_the_old_one_wakes(self) -> None:
-        """The sidecar with a charge in hand is paused and replaced; the caller resends; then
-        the old one wakes with the charge still in hand.
+    async def test_owner_replaced_and_the_old_one_resumes(self) -> None:
+        """A sidecar that handles a charge is paused and replaced; the caller resends; then the
+        old sidecar resumes and still has the charge.
 
-        The replacement would run it, and the old one too: two charges on one family.
+        If the replacement ran the charge as well, the caller would be charged twice.
         """
         key = await self.fleet.issue_key()
         for name in ("tally-1", "tally-2"):
@@ -154,10 +154,10 @@
         self.assertIn((became, self.fleet.runs("woken")), [("whole", 1), ("unknown", 1)])
 
     async def test_keys_belong_to_workspaces_and_bodies(self) -> None:
-        """Another workspace shows a key that it saw, or a caller reuses its key by mistake.
+        """Another workspace uses a key that it has seen, or a caller reuses its key by mistake.
 
-        The other workspace would read a stranger's receipt; the caller would take an old
-        receipt for the new charge.
+        The other workspace would read a response that is not its own; the caller would take an
+        old response for that of the new charge.
         """
         key = await self.fleet.issue_key()
         self.assertEqual((await self.fleet.charge("mine", key=key))[0], "whole")
--- a/tests/outcomes_leaving_test.py
+++ b/tests/outcomes_leaving_test.py
@@ -1,4 +1,4 @@
-"""Planned stops: no request is cut, no new work is taken, and the process ends."""
+"""Tests of planned stops: requests in progress complete, new ones run elsewhere."""
 
 import asyncio
 import signal
@@ -8,15 +8,15 @@
 
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    """The platform's list says nothing in any of these."""
+    """In all of these tests the platform's list still shows the stopping instance as live."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await self.enterAsyncContext(OutcomesFleet())
 
     async def test_sidecar_of_a_service_leaves_under_charges(self) -> None:
-        """A billing instance is replaced in the middle of the day.
+        """An instance of a billing service is replaced under load.
 
-        A charge in progress must end, and no till may see an error for the replacement.
+        Charges in progress must complete, and no caller may get an error.
         """
         await self.fleet.start_all(["tally-1", "tally-2"], [])
         for name in ("tally-1", "tally-2"):
@@ -36,7 +36,7 @@
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_a_key_issued_just_before_its_instance_leaves_is_good(self) -> None:
-        """Guards against a charge that is refused because of a planned stop."""
+        """Guards against a charge that is refused because the issuer of its key is stopping."""
         await self.fleet.start_all(["tally-1"], [])
         key = await self.fleet.issue_key()
         leaving = self.fleet.members["tally-1"].daemon
@@ -47,9 +47,9 @@
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_engine_sidecar_leaves_under_long_streams(self) -> None:
-        """An instance is drained while a long speech runs there; the list still says live.
+        """An instance is drained while it runs a long stream; the list still shows it as live.
 
-        The speech must not be cut, and the instance must not wait for its end.
+        The stream must continue elsewhere, and the instance must not wait for its end.
         """
         await self.fleet.start_all([], ["worker-1", "worker-2"], drain_seconds=60.0)
         caller = self.fleet.caller()
@@ -64,10 +64,10 @@
         self.assertEqual(await long, "whole", caller.problems)
 
     async def test_entry_leaves(self) -> None:
-        """An entry is replaced while it holds a stream and a charge.
+        """An entry is stopped while a stream and a charge are in progress.
 
-        Both must end whole. A new request must be told "not run" at once; a resent charge
-        must not be, as the copy that this entry sent before may have run.
+        Both must complete. A new request must get "not run" at once; a resent charge must not,
+        because the request that this entry has already sent may have run.
         """
         await self.fleet.start_all(["tally-1"], ["worker-1"])
         port = self.fleet.members["tally-1"].endpoint_port
--- a/tests/outcomes_links_test.py
+++ b/tests/outcomes_links_test.py
@@ -1,4 +1,4 @@
-"""Charges over bad links and from differing lists: nothing runs twice, no answer is wrong."""
+"""Tests of charges over faulty links and with differing lists: no double run, no wrong response."""
 
 import asyncio
 import unittest
@@ -7,22 +7,22 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """Runs are counted at the endpoint, in a journal that outlives its crash."""
+    """Executions are counted at the endpoint, in a journal that survives its crash."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await self.enterAsyncContext(OutcomesFleet())
         await self.fleet.start_all(["tally-1", "tally-2"], [])
 
     async def spoil_all(self, **faults: object) -> None:
-        """Sets the same faults on the links to both sidecars."""
+        """Injects the same faults into the links to both sidecars."""
         for name in ("tally-1", "tally-2"):
             await self.fleet.spoil(name, **faults)
 
     async def test_lost_answer_is_asked_for_again(self) -> None:
-        """Every connection to the sidecars is cut after the charge ran, for a moment.
+        """All connections to the sidecars are refused for a moment while charges are in progress.
 
-        The caller would be told "unknown" although the charge ran and its answer is there;
-        a till that then charges again bills twice.
+        Without asking again, the entry would report "unknown" although the response is
+        available; a caller that then sends a new charge pays twice.
         """
         for name in ("tally-1", "tally-2"):
             port = self.fleet.members[name].endpoint_port
@@ -37,9 +37,9 @@
         self.assertEqual(became, ["whole"] * 4)
 
     async def test_duplicate_on_the_network_runs_once(self) -> None:
-        """The network delivers each request to the sidecar once more, half a second later.
+        """The network delivers each request to the sidecar a second time, after the first.
 
-        Each shop would be billed twice for the same copies, with no caller to blame.
+        Without deduplication every charge would run twice, although the caller sent it once.
         """
         await self.spoil_all(repeat_requests=True, repeat_delay_seconds=0.3)
         became = [(await self.fleet.charge(f"twice-{i}"))[0] for i in range(3)]
@@ -48,9 +48,9 @@
         self.assertEqual([self.fleet.runs(f"twice-{i}") for i in range(3)], [1] * 3)
 
     async def test_two_lists_and_a_partition(self) -> None:
-        """One entry's list lacks the owner of a key, or a partition keeps it from the owner.
+        """An entry's list lacks the owner of a key, or a partition separates it from the owner.
 
-        An entry that took the charge to the endpoint on its own side would run it twice.
+        An entry that sent the charge to another endpoint would cause a second run.
         """
         key = await self.fleet.issue_key()
         became, told = await self.fleet.charge("split", key=key)
@@ -69,9 +69,9 @@
         self.assertEqual(self.fleet.runs("split"), 1)
 
     async def test_corrupted_links_pass_no_wrong_answer(self) -> None:
-        """A link flips a byte in every fortieth, in requests' answers of any kind.
+        """The links corrupt one in 7, 40, 333 or 900 bytes of the sidecars' responses.
 
-        The till would print another shop's balance, or take a flipped "unknown" for truth.
+        Without verification the caller could receive a wrong response or a wrong outcome.
         """
         for every in (7, 40, 333, 900):
             await self.spoil_all(corrupt_every_bytes=every)
--- a/tests/outcomes_soak_test.py
+++ b/tests/outcomes_soak_test.py
@@ -1,4 +1,4 @@
-"""Everything at once from fixed seeds; longer by `python -m bench.outcomes`."""
+"""Soak test of request outcomes with fixed seeds; `python -m bench.outcomes` runs a longer one."""
 
 import asyncio
 import contextlib
@@ -13,10 +13,10 @@
 
 
 class OutcomesSoakTest(unittest.IsolatedAsyncioTestCase):
-    """No double run, no false "not run", no wrong or partial answer, whatever meets."""
+    """No double run, no false "not run", no wrong or partial response under combined failures."""
 
     async def soak(self, seed: int) -> None:
-        """Plays one seed."""
+        """Runs the soak test with one seed."""
         async with OutcomesFleet() as fleet:
             await fleet.start_all(["tally-1", "tally-2"], ["worker-1", "worker-2"])
             caller = OutcomesCaller(fleet, seed)
@@ -37,15 +37,15 @@
             self.assertGreater(figures["last_told"].get("whole", 0), CALLS * 0.65 / 4, context)
 
     async def test_first_seed(self) -> None:
-        """Links, instances and entries fail together; a shop must not pay twice for it."""
+        """Links, instances and entries fail together; no charge may run twice."""
         await self.soak(1)
 
     async def test_second_seed(self) -> None:
-        """The same in another order, as no two bad nights are alike."""
+        """The same faults in another order."""
         await self.soak(2)
 
     async def test_third_seed(self) -> None:
-        """And in a third."""
+        """The same faults in a third order."""
         await self.soak(3)
 
 
--- a/tests/outcomes_stalls_test.py
+++ b/tests/outcomes_stalls_test.py
@@ -1,4 +1,4 @@
-"""Streams that nobody ends: a link stalls, or a caller goes away without a word."""
+"""Tests of streams that do not end by themselves: stalled links and disconnected callers."""
 
 import asyncio
 import json
@@ -11,16 +11,16 @@
 
 
 class StallTest(unittest.IsolatedAsyncioTestCase):
-    """Silence is noticed, and no slot is held for nobody."""
+    """Stalls are detected, and slots of disconnected callers are freed."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await self.enterAsyncContext(OutcomesFleet())
         await self.fleet.start_all([], list(ENGINES), entries=1)
 
     async def test_stalled_link(self) -> None:
-        """The link stalls in the middle of a stream, with nothing closed.
+        """The link stalls in the middle of a stream, without closing connections.
 
-        The treasurer would watch a spinner until the print shop closes.
+        Without stall detection the caller would wait until its deadline.
         """
         caller = self.fleet.caller()
         work = asyncio.ensure_future(caller.generate("stalled", 100))
@@ -31,9 +31,9 @@
         await self.fleet.spoil(running)
 
     async def test_cancelled_caller_frees_its_slot(self) -> None:
-        """A caller goes away in the middle of a long answer.
+        """A caller disconnects in the middle of a long response.
 
-        The engine would go on for nobody while others wait for its slot.
+        Without cancellation the engine would go on generating while others wait for the slot.
         """
         body = {"model": "summaries", "prompt": "left", "max_tokens": 2000, "stream": True}
         content = json.dumps(body).encode()
--- a/tests/outcomes_streams_test.py
+++ b/tests/outcomes_streams_test.py
@@ -1,4 +1,4 @@
-"""Streams under failures: whole, or ended by an error; no token missing, repeated or mixed."""
+"""Tests of streams under failures: complete or ended by an error, with no token wrong."""
 
 import asyncio
 import unittest
@@ -15,21 +15,22 @@
 
 
 class StreamTest(unittest.IsolatedAsyncioTestCase):
-    """Each token names its version, its prompt and its place, so that a reader can tell."""
+    """Each token contains its version, a hash of its prompt and its index, so that missing,
+    repeated and mixed tokens are detected."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await self.enterAsyncContext(OutcomesFleet())
         await self.fleet.start_all([], list(ENGINES), entries=1)
 
     async def spoil_all(self, **faults: object) -> None:
-        """Sets the same faults on the links to both sidecars."""
+        """Injects the same faults into the links to both sidecars."""
         for name in ENGINES:
             await self.fleet.spoil(name, **faults)
 
     async def test_cut_at_every_boundary(self) -> None:
-        """The link to an endpoint is cut within the head, a token, between two, or at the end.
+        """The link to a sidecar is cut within the head, within or between tokens, or at the end.
 
-        The caller would read half an answer as a whole one, or see a token twice.
+        The caller could take a partial response for a complete one, or receive a token twice.
         """
         caller = self.fleet.caller()
 
@@ -44,16 +45,16 @@
                 await asyncio.sleep(0.05)
                 await self.spoil_all()
                 self.assertIn(await work, HONEST, caller.problems)
-                # Each cut must meet endpoints that are in service, and the next request
-                # after it must be answered whole.
+                # Each cut must happen while the endpoints are in service, and the next
+                # request after it must complete.
                 await self.fleet.wait_until(answers, 30.0, f"an answer after {place}")
         self.assertEqual(caller.problems, [])
 
     async def test_engine_killed_mid_stream(self) -> None:
-        """An engine dies in the middle of a committee's speech.
+        """An engine dies in the middle of a stream.
 
-        The speech must go on where it stopped, from the other engine of the same version;
-        with no such engine left it must end in an error, not in a shorter speech.
+        The stream must resume where it stopped, at the other engine with the same version;
+        if no such engine is left it must end in an error and not look complete.
         """
         caller = self.fleet.caller()
         first = asyncio.ensure_future(caller.generate("speech", 150))
@@ -68,9 +69,9 @@
         self.assertIn(await second, ("failed", "unknown", "refused"), caller.problems)
 
     async def test_no_engine_of_the_same_version_is_left(self) -> None:
-        """The engine dies mid-stream, and every other one has the next version already.
+        """The engine dies in mid-stream, and all others already run the next version.
 
-        Two versions in one speech would contradict each other halfway down the page.
+        A resumed stream would mix the output of two versions.
         """
         caller = self.fleet.caller()
         work = asyncio.ensure_future(caller.generate("long", 1200))
@@ -91,14 +92,14 @@
 
 
 class SuspectStreamTest(unittest.IsolatedAsyncioTestCase):
-    """Streams that were in progress at a death go on, each beside no other of them."""
+    """Streams in progress on an engine that died resume, but no two of them at one engine."""
 
     async def test_more_streams_lost_than_engines_left(self) -> None:
         """An engine's instance dies with three streams, and two engines are left.
 
-        Each of the three may be what killed it, so two of them never run at one engine. The
-        caller of the third must get the rest of its text when one of the others has ended; it
-        would see its text end in an error while both engines have room.
+        Each of the three may have caused the crash, so two of them never run at one engine. The
+        third must wait until one of the others has ended and then resume; it must not end in
+        an error while both engines have free slots.
         """
         fleet = await self.enterAsyncContext(OutcomesFleet())
         await fleet.start_all([], list(THREE_ENGINES), entries=1)
--- a/tests/planned_stops_test.py
+++ b/tests/planned_stops_test.py
@@ -1,4 +1,4 @@
-"""Planned stops while other things fail: nothing in progress is cut."""
+"""Tests of planned stops during other failures: requests in progress are not interrupted."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 NO_NEW_WORK_AFTER_SECONDS = 2.0
 LOAD_PER_SECOND = 20.0
 TOKENS = 60
-# Longer than an entry waits for a word of an instance before it takes that for silent.
+# Longer than the time without reports after which an entry considers an instance silent.
 SLEEP_SECONDS = 2.8
 SEED = 5
 
@@ -43,7 +43,7 @@
         await self.cluster.wait_until(self.is_ready, START_SECONDS, "every endpoint in service")
 
     async def is_ready(self) -> bool:
-        """Returns whether each entry knows every endpoint, with its version."""
+        """Returns whether each entry knows every endpoint and each engine has its version."""
         for entry in self.entries:
             metrics = await self.cluster.client.fetch(f"http://127.0.0.1:{entry.http_port}/metrics")
             if b"endpoints_known 6.0" not in metrics.body:
@@ -52,12 +52,12 @@
         return all(status["version"] == "v1" for status in statuses)
 
     def start_load(self) -> asyncio.Task:
-        """Starts callers who go on until told to end."""
+        """Starts callers that send requests until `ended` is set."""
         work = self.caller.run_open_loop(LOAD_PER_SECOND, TOKENS, ended=self.ended)
         return asyncio.ensure_future(work)
 
     async def stop(self, name: str) -> float:
-        """Stops a daemon as planned, and returns when that began."""
+        """Stops a daemon with SIGTERM; returns when the stop began."""
         daemon = self.cluster.members[name].daemon
         began = time.time()
         daemon.send(signal.SIGTERM)
@@ -65,7 +65,7 @@
         return began
 
     async def judge(self, load: asyncio.Task) -> None:
-        """Ends the load; fails unless every caller got all that it asked for."""
+        """Ends the load, and checks that every request was answered completely."""
         self.ended.set()
         await load
         counts = self.caller.counts
@@ -74,7 +74,7 @@
         self.assertGreater(counts["whole"], LOAD_PER_SECOND)
 
     def placed_late(self, name: str, began: float) -> list[float]:
-        """Returns how long after a stop began work was still placed at that daemon."""
+        """Returns the delays after `began` of requests that were placed at a daemon too late."""
         late = []
         for entry in self.entries:
             for line in entry.daemon.text().splitlines():
@@ -86,9 +86,9 @@
         return late
 
     async def test_the_platform_is_down(self) -> None:
-        """Instances are replaced while the platform's services are down, so that the list calls
-        the leaving ones live until long after. Callers whose text streams from a leaving engine,
-        or whose charge runs at a leaving service, must not notice."""
+        """Instances are stopped while the platform's services are down, so that the list shows
+        them as live long afterwards. Streams from a stopping engine and charges at a stopping
+        service must complete without errors."""
         faults = {"configuration": "down", "instances": "down", "store": "down", "origin": "down"}
         await self.cluster.control("faults", faults)
         load = self.start_load()
@@ -100,8 +100,8 @@
         self.assertEqual(self.placed_late("tally-1", service), [])
 
     async def test_another_instance_dies_meanwhile(self) -> None:
-        """While one engine's instance leaves as planned, another dies without a word. The text
-        that streamed from either goes on from a third; nobody's answer ends early."""
+        """While one engine's instance is stopped as planned, another one crashes. Streams from
+        either must resume on a third; no response may end early."""
         load = self.start_load()
         await asyncio.sleep(1.0)
         stopping = asyncio.ensure_future(self.stop("worker-1"))
@@ -115,7 +115,7 @@
         self.assertEqual(self.placed_late("worker-1", began), [])
 
     async def test_the_other_instance_of_a_service_sleeps_meanwhile(self) -> None:
-        """Guards against refusals for want of an instance that is silent only for a moment."""
+        """Guards against refusals because the only other instance is silent for a moment."""
         load = self.start_load()
         await asyncio.sleep(1.0)
         sleeping = self.cluster.members["tally-2"].daemon
@@ -128,13 +128,14 @@
         await asyncio.sleep(1.0)
         self.ended.set()
         await load
-        # Some still find the queue of the one instance that is left too long.
+        # Some requests are still refused because the queue of the remaining instance is too long.
         self.assertEqual(self.caller.codes["no_endpoint"], 0, self.caller.codes)
         self.assertEqual(self.caller.counts["unknown"] + self.caller.counts["lost"], 0)
 
     async def test_an_entry_sleeps_through_it(self) -> None:
-        """An entry is paused while an engine's instance leaves, and wakes believing that it is
-        still there. Its first callers are served by the others, and notice nothing."""
+        """An entry is paused while an engine's instance stops, and resumes with outdated state
+        that still includes it. Its first requests must be served by other engines, without errors.
+        """
         sleeping = self.entries[0]
         sleeping.daemon.send(signal.SIGSTOP)
         await self.stop("worker-1")
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -41,7 +41,7 @@
         if "store" in settings:
             settings["platform"] = self.platform_settings(store=True)
             del settings["store"]
-        await asyncio.gather(*(self.start_sidecar(name, **settings) for name in self.regions))
+        await asyncio.gather(*(self.start_member(name, **settings) for name in self.regions))
         for name in proxied:
             member = self.cluster.members[name]
             _, port, control = await self.cluster.start_proxy(member.http_port)
@@ -49,7 +49,7 @@
             self.proxies[name] = control
         await self.cluster.publish_instances()
 
-    async def start_sidecar(self, name: str, **settings: object) -> Member:
+    async def start_member(self, name: str, **settings: object) -> Member:
         """Starts one sidecar, with an engine unless one is given."""
         member = await self.cluster.start_sidecar(name, self.regions[name], **settings)
         self.direct_ports[name] = member.http_port
--- a/tests/weights_rollout_test.py
+++ b/tests/weights_rollout_test.py
@@ -89,7 +89,7 @@
         first = self.cluster.members["worker-1"]
         first.daemon.send(signal.SIGSTOP)
         endpoint = (first.endpoint, first.endpoint_port)
-        second = await fleet.start_sidecar("worker-1", endpoint=endpoint)
+        second = await fleet.start_member("worker-1", endpoint=endpoint)
         await self.cluster.publish_instances()
         await second.daemon.read_event("orderer_waits")
         await fleet.set_target("v2")
--- a/tests/weights_sources_test.py
+++ b/tests/weights_sources_test.py
@@ -48,7 +48,7 @@
         await fleet.wait_until_live("v1")
         await self.cluster.control("faults", {"origin": "down"})
         await fleet.kill("worker-4")
-        await fleet.start_sidecar("worker-4")
+        await fleet.start_member("worker-4")
         await self.cluster.publish_instances()
         await fleet.wait_until_live("v1")
         self.assertEqual(await fleet.bad_activations(), 0)
@@ -87,7 +87,7 @@
         await fleet.start()
         await fleet.kill("worker-1", "worker-5")
         for name in ("worker-1", "worker-5"):
-            await fleet.start_sidecar(name)
+            await fleet.start_member(name)
         await fleet.add_version("v1")
         await fleet.set_target("v1")
         await fleet.wait_until_live("v1")
