--- a/tests/load_policy_test.py
+++ b/tests/load_policy_test.py
@@ -6,7 +6,7 @@
 
 from tests.fake_fleet import Answer, FakeFleet, percentile, run_with_paused_clock
 
-# Requests per second: four engines with four slots, ten tokens of 20 ms per request.
+# Four engines with four slots, ten tokens of 20 ms per request: 80 requests per second.
 CAPACITY = 80.0
 
 
