--- a/bench/bare_relay.py
+++ b/bench/bare_relay.py
@@ -16,17 +16,17 @@
 
 
 class RelayHandler(web.RequestHandler):
-    """POST /: relays one generation."""
+    """Relays one generation at POST /."""
 
     def initialize(
         self, urls: collections.abc.Iterator[str], client: httpclient.AsyncHTTPClient
     ) -> None:
-        """Takes the engines' URLs, in turn for ever, from the route."""
+        """Receives an endless round robin over the engines' URLs from the route."""
         self.urls = urls
         self.client = client
 
     async def post(self) -> None:
-        """Writes each chunk as it comes."""
+        """Writes and flushes each chunk as it arrives."""
         chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
         request = httpclient.HTTPRequest(
             next(self.urls),
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -1,4 +1,4 @@
-"""A caller that checks every answer it gets against what it asked."""
+"""A caller that checks every answer against its request."""
 
 import asyncio
 import collections
@@ -18,16 +18,17 @@
 
 
 def expected_text(version: str, prompt: str, tokens: int) -> str:
-    """Returns the whole answer that the engine's stand-in gives to a prompt."""
+    """Returns the complete answer of the engine stand-in to a prompt."""
     mark = hashlib.sha256(prompt.encode()).hexdigest()[:8]
     return "".join(f"{version}:{mark}:{index} " for index in range(tokens))
 
 
 class Caller:
-    """Sends requests to entries and counts what became of them.
+    """Sends requests to entries and counts them by result.
 
-    Counted are requests, whole, refused (not_run), unknown, failed (an honest error in
-    place of an answer), wrong, mixed, lost (no answer or error at all) and charges.
+    The counts are requests, whole, refused (not_run), unknown, failed (an error reported
+    in place of an answer), wrong (not the expected text), mixed (tokens of more than one
+    version in one answer), lost (neither a complete answer nor an error) and charges.
     """
 
     def __init__(self, entry_ports: list[int], seed: int) -> None:
@@ -42,7 +43,7 @@
         self.problems: list[str] = []
 
     async def generate(self, prompt: str, tokens: int, stream: bool = True) -> str:
-        """Asks for text; returns what became of it."""
+        """Asks for a completion; returns its result."""
         body = {"model": "summaries", "prompt": prompt, "max_tokens": tokens, "stream": stream}
         response = await self._send("POST", "/v1/completions", json.dumps(body).encode())
         if response is None or response.code != 200:
@@ -65,7 +66,7 @@
         return self._count(kind, f"{version}: {text[:200]!r}")
 
     async def charge(self) -> str:
-        """Makes a charge under a mark of its own, once; returns what became of it."""
+        """Sends a charge with a unique mark once, without a key; returns its result."""
         mark = secrets.token_hex(8)
         body = json.dumps({"mark": mark, "amount": 5}).encode()
         response = await self._send("POST", "/services/tally/charge", body)
@@ -78,7 +79,7 @@
         return self._count(became)
 
     async def charge_with_key(self) -> str:
-        """Makes a charge under an issued key, resending while nothing is known of it."""
+        """Sends a charge with an issued idempotency key, again while its result is unknown."""
         response = await self._send("POST", "/v1/idempotency-keys", b'{"service": "tally"}')
         if response is None or response.code != 201:
             return self._count(self._judge_error(response))
@@ -103,7 +104,7 @@
         return self._count(became)
 
     async def read(self) -> str:
-        """Reads a balance; returns what became of it."""
+        """Reads a balance; returns the result of the call."""
         shop = secrets.token_hex(6)
         response = await self._send("GET", f"/services/tally/balance?shop={shop}", None)
         if response is None or response.code != 200:
@@ -118,9 +119,10 @@
         seconds: float = 0.0,
         ended: asyncio.Event | None = None,
     ) -> None:
-        """Sends a mix of requests at random times, whatever becomes of the earlier ones.
+        """Sends a mix of requests at random times, without waiting for earlier answers.
 
-        It goes on for some seconds, or until an event is set, and waits for the answers.
+        Sends until the event is set or, without an event, for the given seconds; then waits
+        for the remaining answers.
         """
         loop = asyncio.get_running_loop()
         ends = loop.time() + seconds
@@ -176,7 +178,7 @@
 
 
 def read_stream(body: bytes) -> tuple[str, str, bool, str]:
-    """Returns the text, the version, whether the end mark came, and the error's code."""
+    """Returns the text, the version, whether [DONE] was received, and the error code."""
     text = version = error = ""
     whole = False
     for block in body.decode().split("\n\n"):
--- a/bench/control.py
+++ b/bench/control.py
@@ -34,7 +34,7 @@
 
 
 def summarize(seconds: list[float]) -> dict[str, float]:
-    """Returns median, 99th percentile and worst of times at single daemons."""
+    """Returns the median, 99th percentile and maximum over the daemons' times."""
     ordered = sorted(seconds)
     place = min(len(ordered) - 1, int(0.99 * len(ordered)))
     return {
@@ -46,7 +46,7 @@
 
 
 async def run_fleet(size: int, control: str) -> dict[str, object]:
-    """Measures one size in one way."""
+    """Measures one fleet size with one kind of control."""
     async with Cluster() as cluster:
         fleet = ControlFleet(cluster, size, control)
         await fleet.start()
@@ -81,7 +81,7 @@
 
 
 async def run_members(quick: bool) -> dict[str, object]:
-    """Measures deaths and false deaths."""
+    """Measures how soon dead endpoints are avoided, and false deaths."""
     found: dict[str, object] = {}
     for control in ("peers", BASELINE):
         async with Cluster() as cluster:
@@ -95,7 +95,7 @@
 
 
 def fleet_aims(runs: list[dict]) -> list[Aim]:
-    """Returns the aims that the fleets are judged by, each beside its baseline."""
+    """Returns the figures of the fleets beside their targets and baselines."""
     aims = []
     for run in (r for r in runs if r["control"] != BASELINE):
         size = run["size"]
@@ -120,13 +120,16 @@
 
 
 def at_daily_rate(run: dict, key: str, role: str) -> float:
-    """Returns a cost at the two-year rate of changes, from those at none and at one a second."""
+    """Returns a cost at the rate of changes expected in two years.
+
+    Interpolates between the costs at no changes and at one change a second.
+    """
     idle, changing = run["idle"][key][role], run["changing"][key][role]
     return round(idle + (changing - idle) * CHANGES_A_DAY / 86_400, 3)
 
 
 def members_aims(found: dict) -> list[Aim]:
-    """Returns the aims that deaths are judged by."""
+    """Returns the figures on dead members beside their targets."""
     peers, base = found["peers"], found.get(BASELINE, {})
     return [
         Aim("last request to a killed endpoint", peers["killed_seconds"], "s", AIM_OUT_SECONDS,
@@ -138,7 +141,7 @@
 
 
 def costs_aims(costs: dict) -> list[Aim]:
-    """Returns the aims that single steps are judged by."""
+    """Returns the costs of single steps beside their targets."""
     return [
         Aim("memory of 2,300 members", costs["members_mib"], "MiB", AIM_MEMORY_MIB),
         Aim("event loop stall of a revision", costs["longest_stall_ms"], "ms", 69.0),
--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -1,4 +1,4 @@
-"""What single steps of control cost, measured in this process: the slopes of docs/CAPACITY.md."""
+"""Costs of single steps of control, measured in this process for docs/CAPACITY.md."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
 
 
 class PushOwner:
-    """Both ends of a stream on which only the load changes."""
+    """Owns both ends of a stream on which only the load changes."""
 
     def __init__(self) -> None:
         self.list_as_of = 0.0
@@ -54,7 +54,7 @@
         return cursor, ()
 
     def handle_push(self, link: PeerLink, push: Push) -> None:
-        """See LinkOwner; has the next push sent at once."""
+        """See LinkOwner; triggers the next push immediately."""
         link.merge_push(push)
         self.received += 1
         if self._link is not None:
@@ -69,7 +69,7 @@
 
 
 async def measure_push() -> dict[str, float]:
-    """Returns what one push costs both ends together, and its bytes."""
+    """Returns the CPU time of one push at both ends together, and its size."""
     owner = PushOwner()
     sockets = netutil.bind_sockets(0, "127.0.0.1")
     serving = server.Server([PeerService(owner)], codec=peer_client.CODEC)
@@ -93,7 +93,7 @@
 
 
 def make_fleet_list() -> list[Instance]:
-    """Returns the list at the two-year size."""
+    """Returns an instance list of the size expected in two years."""
     instances = []
     for number in range(ENTRIES + SIDECARS):
         role = InstanceRole.ENTRY if number < ENTRIES else InstanceRole.SIDECAR
@@ -104,7 +104,7 @@
 
 
 def measure_members() -> dict[str, float]:
-    """Returns memory and time for the members at the two-year size."""
+    """Returns memory and times of the member table at the size expected in two years."""
     instances = make_fleet_list()
     tracemalloc.start()
     copies = InstanceRoster()
@@ -145,8 +145,10 @@
 
 
 async def measure_apply() -> dict[str, float]:
-    """Returns what it takes to check, render and compress a revision, and how long the event
-    loop stands still meanwhile."""
+    """Returns the CPU time to check, render and compress a revision.
+
+    Also returns how long the event loop stalls while a thread does this work.
+    """
     value = make_large_value()
     began = time.process_time()
     _, compressed = prepare_value(value, "region-0", b"")
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of daemons before one stand-in endpoint, and what control costs it."""
+"""A fleet of daemons that share one stand-in endpoint, and the cost of its control traffic."""
 
 import asyncio
 import dataclasses
@@ -17,13 +17,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Costs:
-    """What a window of time cost, as means over daemons of one role unless said otherwise.
+    """The costs in a time window, as means over the daemons of a role unless said otherwise.
 
     Attributes:
       core_percent: Processor time in percent of one core.
       bytes_per_second: Control bytes sent and received, HTTP/2 frames included.
       resident_mib: Resident memory at the end.
-      calls_per_second: Calls of the whole fleet on the configuration service and the list.
+      calls_per_second: Calls of the whole fleet to the configuration service and for the list.
     """
 
     core_percent: dict[str, float]
@@ -43,7 +43,7 @@
         self._services: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Starts all daemons, lists them, and waits until the first revision is everywhere."""
+        """Starts and lists all daemons; waits until the first revision is in force on each."""
         await self.cluster.start_platform()
         endpoint = await self.cluster.start_service("shared")
         entries = max(1, round(self.size * ENTRIES_FRACTION))
@@ -67,11 +67,11 @@
         await self.publish_and_time()
 
     def alive(self) -> list[Member]:
-        """Returns the members that run."""
+        """Returns the members whose daemon is running."""
         return [m for m in self.cluster.members.values() if m.daemon.alive]
 
     async def publish_and_time(self) -> list[float]:
-        """Publishes a change; returns the seconds until it was in force, for each daemon."""
+        """Publishes a change; returns the seconds until it is in force, one value per daemon."""
         base = make_base({}, "", {}, self._services) | {"models": {}}
         for workspace in base["workspaces"].values():
             workspace["models"] = []
@@ -88,18 +88,19 @@
                 if at is not None:
                     seconds.append(at - began)
                     del missing[name]
-            # The times come from the logs; reading them often would slow what is measured.
+            # The times come from timestamps in the logs, so a coarse polling interval costs no
+            # accuracy; frequent reads would slow down the daemons under measurement.
             await asyncio.sleep(0.25)
         return seconds + [IN_FORCE_SECONDS] * len(missing)
 
     async def readers(self) -> list[Member]:
-        """Returns the daemons that read the service."""
+        """Returns the members that read the configuration service directly."""
         alive = self.alive()
         statuses = await asyncio.gather(*(self.cluster.status(m.name) for m in alive))
         return [m for m, s in zip(alive, statuses, strict=True) if s["reads_service"]]
 
     async def measure(self, seconds: float, changes_per_second: float = 0.0) -> Costs:
-        """Measures a window of time, in which changes may be published."""
+        """Measures a time window, with changes published at a steady rate if one is given."""
         before = await self._read_all()
         began = time.monotonic()
         count = round(seconds * changes_per_second)
--- a/bench/control_members.py
+++ b/bench/control_members.py
@@ -1,5 +1,7 @@
-"""How soon an entry stops sending to a dead endpoint, and how often a living daemon is called
-dead under loss and pauses."""
+"""Measures how soon an entry stops sending to a dead endpoint, and the false deaths.
+
+A false death is a running daemon that others declare dead under packet loss and pauses.
+"""
 
 import asyncio
 import json
@@ -21,7 +23,7 @@
 
 
 async def measure_deaths(cluster: Cluster, control: str) -> dict[str, float]:
-    """Kills endpoints under calls, and hangs one; returns seconds to the last request there."""
+    """Kills some endpoints under load and hangs one; returns the times to the last request."""
     await cluster.start_platform()
     names = [f"tally-{number}" for number in range(SIDECARS)]
     starts = [cluster.start_sidecar(name, REGION, "service", control=control) for name in names]
@@ -70,7 +72,7 @@
 
 
 async def measure_false_deaths(cluster: Cluster, seconds: float) -> dict[str, float]:
-    """Has every peer link lose three pieces in ten and daemons pause; counts false deaths."""
+    """Counts false deaths while peer links lose three pieces in ten and daemons pause."""
     await cluster.start_platform()
     endpoint = await cluster.start_service("shared")
     names = [f"tally-{number}" for number in range(LOSSY_DAEMONS)]
--- a/bench/control_plot.py
+++ b/bench/control_plot.py
@@ -1,4 +1,4 @@
-"""Draws how control grows with the fleet."""
+"""Plots the cost of control traffic over the size of the fleet."""
 
 import pathlib
 
@@ -6,7 +6,7 @@
 
 
 def draw_plot(runs: list[dict]) -> None:
-    """Draws time in force, calls, processor and bytes over the number of daemons."""
+    """Draws time in force, calls, CPU time and bytes over the number of daemons."""
     # Imported here, because a run without a plot does not need it.
     import matplotlib
 
--- a/bench/decaying_percentile.py
+++ b/bench/decaying_percentile.py
@@ -1,9 +1,10 @@
-"""A percentile over decaying samples in buckets, the rival of the average in expected cost.
+"""A percentile over decaying samples in buckets, an alternative to the moving average.
 
 After the Vertical Pod Autoscaler design proposal (kubernetes/community, "Recommendation
 model"): usage is taken as independent samples of one distribution, and a request is set to a
-high percentile of it. Buckets grow by a twentieth and samples lose half their weight with
-age. It stands in bench because the average won; see docs/measurements/load.md.
+high percentile of it. Buckets grow by a twentieth and samples lose half their weight per
+half-life. Only the bench uses it: the average had the smaller error, see
+docs/measurements/load.md.
 """
 
 import collections
@@ -13,7 +14,7 @@
 
 
 class DecayingPercentile:
-    """Weights by bucket; each new sample weighs more than the one before."""
+    """A percentile estimate; each new sample has more weight than the one before."""
 
     def __init__(self, part: float, half_life: float) -> None:
         self._part = part
@@ -22,7 +23,7 @@
         self._weights: collections.Counter[int] = collections.Counter()
 
     def learn(self, value: float) -> None:
-        """Takes a sample."""
+        """Adds a sample."""
         self._weight *= self._growth
         self._weights[round(math.log(max(value, 1.0), BUCKET_GROWTH))] += self._weight
 
--- a/bench/expected_cost.py
+++ b/bench/expected_cost.py
@@ -1,7 +1,7 @@
 """Compares a moving average with decaying percentiles as the expected cost of requests.
 
-What matters to admission is the work that a handful of waiting requests stand for: the error
-of the sum over GROUP requests, relative to its true value. Habits are made from a fixed seed.
+Admission needs the total work of a group of waiting requests, so the measure is the error of
+the sum over GROUP requests, relative to its true value. Token counts come from a fixed seed.
 """
 
 import random
@@ -18,8 +18,8 @@
 HALF_LIFE_SAMPLES = 32.0
 
 
-def habits(rng: random.Random) -> dict[str, list[int]]:
-    """Returns token counts of workspaces with different habits."""
+def make_token_counts(rng: random.Random) -> dict[str, list[int]]:
+    """Returns token counts of workspaces with different distributions."""
     steady = [max(1, int(rng.gauss(200, 30))) for _ in range(REQUESTS)]
     skewed = [max(1, int(rng.lognormvariate(4.0, 1.0))) for _ in range(REQUESTS)]
     mixed = [rng.choice((20, 20, 20, 800)) for _ in range(REQUESTS)]
@@ -43,7 +43,7 @@
 def main() -> int:
     """Runs the comparison."""
     found: dict[str, dict[str, float]] = {}
-    for name, costs in habits(random.Random(5)).items():
+    for name, costs in make_token_counts(random.Random(5)).items():
         average = ExpectedCost()
         found[name] = {
             "average": mean_error(
--- a/bench/fetch_cost.py
+++ b/bench/fetch_cost.py
@@ -1,4 +1,4 @@
-"""What one HTTP request between the fleet's processes costs, with either resolver."""
+"""Measures the CPU time of an HTTP request between daemons, with either address resolver."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 class EchoHandler(web.RequestHandler):
-    """Answers in one byte."""
+    """Answers with one byte."""
 
     def get(self) -> None:
         """Answers."""
@@ -20,13 +20,13 @@
 
 
 async def measure_processor(client: httpclient.AsyncHTTPClient, url: str) -> float:
-    """Returns milliseconds of processor a request, client and server together."""
+    """Returns the CPU milliseconds per request, client and server together."""
 
     async def ask() -> None:
         await http_client.fetch(client, httpclient.HTTPRequest(url), "echo")
 
     began = 0.0
-    # The first batches open threads and fill caches; they do not count.
+    # The first batches start threads and fill caches, so they are not measured.
     for batch in range(BATCHES + BATCHES // 4):
         if batch == BATCHES // 4:
             began = time.process_time()
@@ -35,7 +35,7 @@
 
 
 async def measure_fetch() -> tuple[float, float]:
-    """Returns the cost with the fleet's client, and with the library's own resolver."""
+    """Returns the cost with the fleet's client, and with the library's default resolver."""
     sockets = netutil.bind_sockets(0, "127.0.0.1")
     server = httpserver.HTTPServer(web.Application([("/", EchoHandler)], log_function=ignore))
     server.add_sockets(sockets)
--- a/bench/fleet_files.py
+++ b/bench/fleet_files.py
@@ -1,4 +1,4 @@
-"""The fleet file that the demo, the tests and the benches publish, in its plainest form."""
+"""The minimal fleet file that the demo, the tests and the benches publish."""
 
 import hashlib
 
@@ -18,7 +18,7 @@
     services: dict[str, str] | None = None,
     total_bytes: int = 0,
 ) -> dict[str, object]:
-    """Returns a base file's tree.
+    """Returns the tree of a base file.
 
     Args:
       roots: Root digest by version name.
--- a/bench/hop_cost.py
+++ b/bench/hop_cost.py
@@ -27,10 +27,10 @@
 
 
 class EventsHandler(web.RequestHandler):
-    """POST /: streams events at an engine's pace."""
+    """Streams events at the rate of an engine at POST /."""
 
     async def post(self) -> None:
-        """Writes every event with its time, so that a reader knows how old it is."""
+        """Writes each event with a timestamp, from which the reader computes its age."""
         for _ in range(EVENTS):
             self.write(f"{time.monotonic():.6f} ".encode() + EVENT + b"\n")
             await self.flush()
@@ -38,7 +38,7 @@
 
 
 async def read_stream(client: httpclient.AsyncHTTPClient, url: str) -> tuple[float, list[float]]:
-    """Returns the seconds until the first event, and how old each event was when it came."""
+    """Returns the seconds until the first event, and the age of each event on arrival."""
     began = time.monotonic()
     first: list[float] = []
     ages: list[float] = []
@@ -56,7 +56,7 @@
 
 
 async def read_streams(url: str, streams: int) -> tuple[list[float], list[float]]:
-    """Returns the first events' times and all events' ages of some streams, a few at once."""
+    """Reads streams, AT_ONCE at a time; returns times to first event and ages of all events."""
     client = httpclient.AsyncHTTPClient(force_instance=True, max_clients=100)
     firsts: list[float] = []
     ages: list[float] = []
--- a/bench/idle_interpreter.py
+++ b/bench/idle_interpreter.py
@@ -1,4 +1,4 @@
-"""An interpreter that does nothing, as the baseline of memory."""
+"""An idle Python interpreter, the baseline for memory measurements."""
 
 import sys
 import time
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""Measures the decisions under load with real processes, against plain baselines.
+"""Measures admission and placement under load with real processes, against simple baselines.
 
-Open-loop arrivals with fixed seeds; every answer is judged at its caller. Writes latency
-figures to out/ and, in its long form, the plot docs/plots/load.png. Parts may be named on the
-command line: main, late, costs.
+Arrivals are open-loop with fixed seeds, and each caller classifies its own answer. Writes
+latency figures to out/ and, in its long form, the plot docs/plots/load.png. The command line
+may name the parts to run: main, late, costs.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 
 
 def say(text: str) -> None:
-    """Prints one line of what happens."""
+    """Prints one line of progress."""
     print(text, flush=True)
 
 
 async def measure_main(seconds: float) -> dict[str, dict]:
-    """Plays everything but the late reports; returns figures by scenario and policy."""
+    """Runs all scenarios but the late load reports; returns figures by scenario and policy."""
     found: dict[str, dict] = {}
     async with Cluster() as cluster:
         fleet = LoadFleet(cluster)
@@ -47,7 +47,7 @@
             skipped += ("slow", "long", "hot", "overload_1", "overload_2", "prefix")
         found["costs"] = {OURS: await load_costs.measure_chunks(fleet)}
         say(f"costs: {brief(found['costs'][OURS])}")
-        # The baselines come last: they leave engines flooded and limits cut.
+        # The baselines come last: they leave engines with long queues and limits reduced.
         for policy in (OURS, BASELINE):
             for name, play in plays.items():
                 if policy == OURS or name not in skipped:
@@ -58,7 +58,7 @@
 
 
 async def measure_late(policies: list[str], seconds: float) -> dict[str, dict]:
-    """Twenty entries whose reports are a second late, policy after policy."""
+    """Measures twenty entries whose load reports are a second late, one policy at a time."""
     found = {}
     for policy in policies:
         async with Cluster() as cluster:
@@ -81,14 +81,14 @@
 
 
 def make_late_aims(late: dict[str, dict]) -> list[Aim]:
-    """Returns the aim of many entries with late reports."""
+    """Returns the target for many entries with late load reports."""
     busiest = round(late[OURS]["busiest"], 3)
     base = round(late["least_reported"]["busiest"], 3)
     return [Aim("busiest_with_late_reports", busiest, "of the mean", 1.3, base)]
 
 
 def make_aims(found: dict[str, dict]) -> list[Aim]:
-    """Returns the aims of the users' measures with what was measured."""
+    """Returns the measured figures beside the targets that the users set."""
 
     def figure(scenario: str, name: str, policy: str = OURS) -> float | None:
         return found.get(scenario, {}).get(policy, {}).get(name)
--- a/bench/load_callers.py
+++ b/bench/load_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the load bench: open-loop arrivals from a fixed seed, judged one by one."""
+"""Callers of the load bench: open-loop arrivals from a fixed seed, each answer classified."""
 
 import asyncio
 import dataclasses
@@ -24,8 +24,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Received:
-    """What its caller received. Times are in seconds; began counts from the start."""
+class LoadResult:
+    """The answer to a request.
+
+    Attributes:
+      began: Seconds from the start of the run until the request was sent.
+      first: Seconds from sending to the first chunk; zero if none came.
+      total: Seconds from sending to the end of the answer.
+      became: One of whole, refused, failed and lost.
+    """
 
     wanted: Wanted
     began: float
@@ -37,7 +44,7 @@
 
 
 class LoadCallers:
-    """Sends requests to entries, whatever becomes of earlier ones."""
+    """Sends requests to entries without waiting for the answers to earlier ones."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
         self._client = httpclient.AsyncHTTPClient(
@@ -46,11 +53,11 @@
         self._random = random.Random(seed)
         self._ports = ports
 
-    async def arrive(self, per_second: float, seconds: float, make) -> list[Received]:
-        """Has requests arrive at random times; returns once the last is answered.
+    async def arrive(self, per_second: float, seconds: float, make) -> list[LoadResult]:
+        """Sends requests at random times; returns once the last is answered.
 
         Args:
-          make: Makes a Wanted from a random.Random.
+          make: Returns a Wanted, given a random.Random.
         """
         rng = random.Random(self._random.random())
         loop = asyncio.get_running_loop()
@@ -58,8 +65,8 @@
         at = 0.0
         tasks = []
         while True:
-            # The next arrival does not depend on how late this one was sent, so that a busy
-            # machine does not thin out the load.
+            # Arrival times are independent of how late this request was sent, so that a busy
+            # machine does not reduce the offered load.
             at += rng.expovariate(per_second)
             if at >= seconds:
                 break
@@ -68,11 +75,11 @@
             tasks.append(asyncio.ensure_future(self.send(make(rng), port, start)))
         return list(await asyncio.gather(*tasks))
 
-    async def send(self, wanted: Wanted, port: int, start: float) -> Received:
-        """Sends one request and judges what comes back."""
+    async def send(self, wanted: Wanted, port: int, start: float) -> LoadResult:
+        """Sends one request and classifies its answer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        received = Received(wanted, began - start)
+        received = LoadResult(wanted, began - start)
 
         def take_chunk(chunk: bytes) -> None:
             received.first = received.first or loop.time() - began
@@ -114,8 +121,8 @@
     )
 
 
-def judge(received: Received, response: httpclient.HTTPResponse, body: bytes) -> None:
-    """Says whether an answer is whole, refused or failed."""
+def judge(received: LoadResult, response: httpclient.HTTPResponse, body: bytes) -> None:
+    """Sets whether the answer is whole, refused or failed; without an answer it stays lost."""
     if response.code == 200:
         is_whole = received.wanted.charge or body.rstrip().endswith(b"data: [DONE]")
         received.became = "whole" if is_whole else "failed"
@@ -132,8 +139,8 @@
     received.retry_after = float(response.headers.get("Retry-After", 0.0))
 
 
-def count(answers: list[Received], became: str) -> int:
-    """Returns how many answers became something."""
+def count(answers: list[LoadResult], became: str) -> int:
+    """Returns the number of answers of one class."""
     return sum(answer.became == became for answer in answers)
 
 
@@ -150,6 +157,6 @@
     return histogram(seconds).get_value_at_percentile(percent) / 1e6 if seconds else 0.0
 
 
-def total_of(answers: list[Received]) -> list[float]:
-    """Returns the whole answers' latencies."""
+def whole_latencies(answers: list[LoadResult]) -> list[float]:
+    """Returns the latencies of the whole answers."""
     return [answer.total for answer in answers if answer.became == "whole"]
--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -1,4 +1,4 @@
-"""What a decision and a streamed chunk cost the entry in processor time."""
+"""Measures the CPU time that a decision and a streamed chunk cost an entry."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 
 
 class StaticTable:
-    """A table of some endpoints that never changes."""
+    """An endpoint table with a fixed set of endpoints."""
 
     def __init__(self, number: int) -> None:
         self.views = []
@@ -43,7 +43,7 @@
 
 
 async def decide(number: int) -> float:
-    """Returns microseconds to admit, place and end one request before some endpoints."""
+    """Returns the median microseconds to admit, place and end a request, by endpoint count."""
     log = EventLog(logbook.Logger("bench", level=logbook.CRITICAL), "bench")
     traffic = RequestScheduler(StaticTable(number), log, None, "r", "r-1", random.Random(1))
     deadline = asyncio.get_running_loop().time() + 1000.0
@@ -60,18 +60,19 @@
         placement.end("")
         permit.release()
         spent.append(time.perf_counter() - began)
-    # The table is read ten times a second at most; the median decision does not read it.
+    # The scheduler reads the table at most ten times a second, so the median decision is one
+    # that does not read it.
     spent.sort()
     return 1e6 * spent[len(spent) // 2]
 
 
 async def measure_decisions() -> dict[str, float]:
-    """Returns microseconds a decision by the number of endpoints."""
+    """Returns the microseconds per decision by the number of endpoints."""
     return {str(number): await decide(number) for number in (10, 100, 1900)}
 
 
 async def stream(client: httpclient.AsyncHTTPClient, url: str, body: dict[str, object]) -> int:
-    """Reads one stream to its end; returns how many tokens came."""
+    """Reads one stream to its end; returns the number of events."""
     parts: list[bytes] = []
     request = httpclient.HTTPRequest(
         url,
@@ -86,9 +87,9 @@
 
 
 async def measure_chunks(fleet: LoadFleet) -> dict[str, float]:
-    """Returns microseconds of processor time a chunk, of an entry and of the bare relay.
+    """Returns the CPU time per chunk in microseconds, of an entry and of the bare relay.
 
-    What each process spends while idle is taken off, so that control is not counted.
+    The idle CPU time of each process is subtracted, so that control traffic is not counted.
     """
     ports = [engine.endpoint_port for engine in fleet.engines]
     urls = [f"http://127.0.0.1:{port}/v1/generate" for port in ports]
@@ -104,7 +105,7 @@
             body: dict[str, object] = {"prompt": f"chunk {number}", "max_tokens": STREAM_TOKENS}
             body |= {"request_id": f"bare-{number}", "model": "summaries", "stream": True}
             bodies.append(body)
-        # A short round first opens the limits of an entry that has just started.
+        # Short requests first raise the concurrency limits of an entry that has just started.
         short = [body | {"max_tokens": 5} for body in bodies]
         for body in short:
             await stream(client, url, body)
--- a/bench/load_fleet.py
+++ b/bench/load_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the load bench: engines of known capacity, a service, entries by policy."""
+"""The fleet of the load bench: engines of known capacity, a service and entries by policy."""
 
 import asyncio
 import collections
@@ -19,13 +19,13 @@
 WORKSPACES = 10
 ENTRIES = 4
 OURS = "ours"
-# Requests a second that the engines' slots can decode, were nothing else to be done.
+# The requests per second that the engines' slots can decode if decoding were the only work.
 CAPACITY = ENGINES * SLOTS / (TOKENS * DECODE_SECONDS)
 IN_FORCE_SECONDS = 40.0
 
 
 class LoadFleet:
-    """Launches the fleet and tells what entries and engines saw."""
+    """Launches the fleet and reads the event logs of entries and the counters of engines."""
 
     def __init__(self, cluster: Cluster, load_lag_seconds: float = 0.5) -> None:
         self.cluster = cluster
@@ -59,7 +59,7 @@
         await self.wait_until_serving()
 
     async def start_entries(self, policy: str, number: int) -> None:
-        """Starts entries of one policy and lists them."""
+        """Starts entries with one policy and publishes them in the instance list."""
         cluster = self.cluster
         cluster.entry_module = "bench.plain_entry"
         if policy == OURS:
@@ -70,7 +70,7 @@
         await cluster.publish_instances()
 
     async def wait_until_serving(self) -> None:
-        """Waits until each entry hears every engine, as several answers in a row show."""
+        """Waits until each entry has served one request, then two seconds for the load reports."""
         for members in self.entries.values():
             for member in members:
                 callers = LoadCallers([member.caller_port], 1)
@@ -90,13 +90,13 @@
         await asyncio.sleep(2.0)
 
     def callers(self, policy: str, seed: int) -> LoadCallers:
-        """Returns callers of the entries of one policy."""
+        """Returns callers that send to the entries of one policy."""
         return LoadCallers([member.caller_port for member in self.entries[policy]], seed)
 
     def placed(self, policy: str, since: float, until: float) -> collections.Counter:
-        """Returns how often each endpoint was chosen, by the entries' own event logs.
+        """Returns how often each endpoint was chosen, from the event logs of the entries.
 
-        Baselines write no such event; see attempts.
+        The baseline schedulers write no such event.
         """
         found: collections.Counter[str] = collections.Counter()
         for member in self.entries[policy]:
@@ -109,12 +109,12 @@
         return found
 
     async def engine_counters(self) -> list[dict[str, object]]:
-        """Reads what each engine counted."""
+        """Reads the counters of each engine."""
         ports = [engine.endpoint_port for engine in self.engines]
         return list(await asyncio.gather(*(self.cluster.counters(port) for port in ports)))
 
     async def settle(self) -> None:
-        """Waits until no engine runs anything and the reports have said so."""
+        """Waits until all engines are idle, and a second for their load reports to arrive."""
 
         async def idle() -> bool:
             return not any(engine["running"] for engine in await self.engine_counters())
@@ -123,5 +123,5 @@
         await asyncio.sleep(1.0)
 
     async def put_faults(self, number: int, **faults: object) -> None:
-        """Sets what is wrong with one engine."""
+        """Sets the faults that one engine injects."""
         await self.cluster.put_faults(self.engines[number].endpoint_port, **faults)
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -1,7 +1,7 @@
-"""Compares ways of routing before late reports, with a paused clock and fakes.
+"""Compares placement policies under late load reports, with a simulated clock and fakes.
 
-Twenty entries, ten engines of four slots, requests of 0.2 s at 0.7 of capacity, reports 1 s
-late. The entries' decisions are the real ones; engines and network are the fakes of
+Twenty entries, ten engines of four slots, requests of 0.2 s at 0.7 of capacity, load reports
+1 s late. The entries run the real scheduler; engines and network are the fakes of
 tests.fake_fleet, so that the figures do not depend on the machine.
 """
 
@@ -11,7 +11,7 @@
 from tests.fake_fleet import FakeFleet, percentile, run_with_paused_clock
 from wasabidrum.entry.request_scheduler import RequestScheduler
 
-from .plain_entry import PlainTraffic
+from .plain_entry import BaselineScheduler
 from .report import Aim, is_quick, print_report
 
 ENGINES = 10
@@ -22,13 +22,13 @@
 WARM_SECONDS = 5.0
 
 
-def make_plain(policy: str) -> type[PlainTraffic]:
-    """Returns a plain traffic of one policy."""
-    return type(policy, (PlainTraffic,), {"policy": policy})
+def make_baseline(policy: str) -> type[BaselineScheduler]:
+    """Returns a baseline scheduler class with one policy."""
+    return type(policy, (BaselineScheduler,), {"policy": policy})
 
 
 def play(make_traffic: type[RequestScheduler], seconds: float) -> dict[str, float]:
-    """Plays one policy; returns its figures."""
+    """Runs the scenario with one policy; returns its figures."""
     fleet = FakeFleet(ENGINES, SLOTS, ENTRIES, make_traffic=make_traffic)
     fleet.report_lag = 1.0
     queues: list[float] = []
@@ -62,7 +62,7 @@
     seconds = 10.0 if is_quick() else 30.0
     policies: dict[str, type[RequestScheduler]] = {"ours": RequestScheduler}
     for policy in ("random", "round_robin", "least_reported", "no_admission"):
-        policies[policy] = make_plain(policy)
+        policies[policy] = make_baseline(policy)
     found = {}
     for name, make_traffic in policies.items():
         found[name] = play(make_traffic, seconds)
--- a/bench/load_scenarios.py
+++ b/bench/load_scenarios.py
@@ -1,4 +1,4 @@
-"""What the load bench plays against one policy, and the figures that come of it."""
+"""The scenarios of the load bench; each runs against one policy and returns its figures."""
 
 import asyncio
 import random
@@ -6,7 +6,7 @@
 
 from standins.prefix_cache import BLOCK_WORDS, prefix_blocks
 
-from .load_callers import Received, Wanted, count, percentile, total_of
+from .load_callers import LoadResult, Wanted, count, percentile, whole_latencies
 from .load_fleet import CAPACITY, DECODE_SECONDS, ENGINES, SLOTS, LoadFleet
 
 FIRST_TOKEN_SECONDS = 1.2
@@ -17,8 +17,8 @@
 PREFIX_LOAD = 0.7
 
 
-def is_good(answer: Received) -> bool:
-    """Whether an answer came whole and its first token in time."""
+def is_good(answer: LoadResult) -> bool:
+    """Whether an answer is whole and its first token came in time."""
     return answer.became == "whole" and answer.first <= FIRST_TOKEN_SECONDS
 
 
@@ -50,7 +50,7 @@
 async def play_overload(
     fleet: LoadFleet, policy: str, factor: float, seconds: float
 ) -> dict[str, float]:
-    """A flood of summaries beside charges."""
+    """Offers summaries at a multiple of capacity beside a steady rate of charges."""
     callers = fleet.callers(policy, 11)
     summaries, charges = await asyncio.gather(
         callers.arrive(factor * CAPACITY, seconds, any_workspace),
@@ -69,13 +69,13 @@
         "lost": count(summaries, "lost"),
         "charges": len(charges),
         "charges_not_whole": len(charges) - count(charges, "whole"),
-        "charge_p95": percentile(total_of(charges), 95.0),
-        "latencies": sorted(total_of(summaries)),
+        "charge_p95": percentile(whole_latencies(charges), 95.0),
+        "latencies": sorted(whole_latencies(summaries)),
     }
 
 
 async def play_hot(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """Nine workspaces at half their share; the tenth idle, then at ten times its share."""
+    """Nine workspaces send half their share; the tenth sends nothing, then ten times its share."""
     found = {}
     for name, rate in (("without", 0.01), ("beside", CAPACITY)):
         callers = fleet.callers(policy, 12)
@@ -84,13 +84,13 @@
             callers.arrive(rate, seconds, hot_workspace),
         )
         callers.close()
-        found[f"{name}_p95"] = percentile(total_of(others), 95.0)
+        found[f"{name}_p95"] = percentile(whole_latencies(others), 95.0)
         found[f"{name}_whole"] = count(others, "whole") / max(1, len(others))
     return found
 
 
 async def play_slow(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """One engine becomes ten times slower at 0.6 of capacity."""
+    """Makes one engine ten times slower at a load of 0.6 of capacity."""
     callers = fleet.callers(policy, 13)
     before = await callers.arrive(0.6 * CAPACITY, seconds, any_workspace)
     generated = await fleet.engine_counters()
@@ -104,8 +104,8 @@
     callers.close()
     await asyncio.sleep(1.0)
     return {
-        "before_p95": percentile(total_of(before), 95.0),
-        "after_p95": percentile(total_of(after), 95.0),
+        "before_p95": percentile(whole_latencies(before), 95.0),
+        "after_p95": percentile(whole_latencies(after), 95.0),
         "after_whole": count(after, "whole") / max(1, len(after)),
         "slow_share_after_2s": placed["worker-0"] / max(1, sum(placed.values())),
         "slow_generated": done[0] / max(1, sum(done)),
@@ -113,7 +113,7 @@
 
 
 async def play_long(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """Short requests at 0.4 of capacity, alone and among long ones at 0.3."""
+    """Sends short requests at 0.4 of capacity, alone and then beside long ones at 0.3."""
     long_rate = 0.3 * ENGINES * SLOTS / (LONG_TOKENS * DECODE_SECONDS)
     found = {}
     for name, rate in (("alone", 0.0001), ("among", long_rate)):
@@ -123,13 +123,13 @@
             callers.arrive(rate, seconds, long_job),
         )
         callers.close()
-        found[f"{name}_p95"] = percentile(total_of(short), 95.0)
+        found[f"{name}_p95"] = percentile(whole_latencies(short), 95.0)
         found[f"{name}_whole"] = count(short, "whole") / max(1, len(short))
     return found
 
 
 async def play_prefix(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """Prompts of some groups that share a head, the first groups more frequent."""
+    """Sends prompts in groups that share a prefix; the first groups are more frequent."""
     salt = random.Random(policy).randrange(10**6)
     weights = [1.0 / (rank + 1) ** 0.7 for rank in range(PREFIX_GROUPS)]
     sent: list[str] = []
@@ -162,7 +162,7 @@
 
 
 def best_hit_rate(prompts: list[str]) -> float:
-    """Returns the hit rate of one cache that holds everything; no placement does better."""
+    """Returns the hit rate of one unbounded cache: the upper bound for any placement."""
     held: set[str] = set()
     words = hits = 0
     for prompt in prompts:
@@ -174,7 +174,7 @@
 
 
 async def play_failing(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """Every engine refuses everything."""
+    """Has every engine refuse every request."""
     for number in range(ENGINES):
         await fleet.put_faults(number, refuse=True)
     callers = fleet.callers(policy, 16)
@@ -191,7 +191,7 @@
 
 
 async def play_late(fleet: LoadFleet, policy: str, seconds: float) -> dict[str, float]:
-    """Many entries before engines that report a second late, at 0.7 of capacity."""
+    """Sends requests at 0.7 of capacity through many entries whose load reports are late."""
     before = await fleet.engine_counters()
     callers = fleet.callers(policy, 17)
     answers = await callers.arrive(PREFIX_LOAD * CAPACITY, seconds, any_workspace)
@@ -200,7 +200,7 @@
     done = [new["generated"] - old["generated"] for new, old in zip(after, before, strict=True)]
     return {
         "busiest": max(done) * len(done) / max(1, sum(done)),
-        "p95": percentile(total_of(answers), 95.0),
+        "p95": percentile(whole_latencies(answers), 95.0),
         "first_p95": percentile([a.first for a in answers if a.became == "whole"], 95.0),
         "whole": count(answers, "whole") / max(1, len(answers)),
     }
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -16,7 +16,7 @@
 
 
 def make_log(output: NonBlockingOutput | None) -> EventLog:
-    """Returns a log that writes every line to an output, or only counts."""
+    """Returns a log that writes each line to an output, or without one only counts."""
     logger = logbook.Logger("bench", level=logbook.INFO if output else logbook.CRITICAL)
     if output is not None:
         logger.handlers.append(OutputHandler(output))
@@ -24,7 +24,7 @@
 
 
 def write_request(log: EventLog, number: int) -> None:
-    """Writes what an entry writes of a stream that goes well."""
+    """Logs what an entry logs for a successful stream."""
     request = f"{number:016x}"
     log.write(
         Event.REQUEST_PLACED,
@@ -67,7 +67,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=20_000)
     options = parser.parse_args()
-    # The bound on routine lines is what a flood meets; here every line is to be written.
+    # Routine events are rate-limited under high load; here every line has to be written.
     event_log.ROUTINE_EVENTS = frozenset()
     with open("/dev/null", "wb", buffering=0) as sink:
         written = microseconds_each(make_log(NonBlockingOutput(sink.fileno())), options.requests)
--- a/bench/plain_entry.py
+++ b/bench/plain_entry.py
@@ -1,8 +1,8 @@
-"""An entry whose decisions are replaced by a plain baseline, for comparison in benches.
+"""An entry with a simple baseline scheduler, for comparison in benches.
 
 Runs like wasabidrumd, with the policy in the environment variable BENCH_POLICY: random,
-round_robin, least_reported, or no_admission (fewest of this entry's own requests). All admit
-everything and retry nothing.
+round_robin, least_reported, or no_admission (the endpoint with the fewest requests in progress from
+this entry). All policies admit everything and retry nothing.
 """
 
 import asyncio
@@ -28,24 +28,24 @@
     return view.status.load.running + view.status.load.waiting
 
 
-class PlainTraffic(RequestScheduler):
-    """Admits everything and places by one simple rule."""
+class BaselineScheduler(RequestScheduler):
+    """Admits everything and places requests by the policy."""
 
     policy = os.environ.get(POLICY_VARIABLE, "no_admission")
 
     def __init__(self, *given: object) -> None:
         super().__init__(*given)
-        # Entries do not know of each other, and start their rounds at different places.
+        # Entries do not coordinate, so each starts its round robin at a random endpoint.
         self._turns = itertools.count(self._rng.randrange(1000))
 
     async def admit(self, item: WorkItem) -> Permit:
-        """Lets the request run at once."""
+        """Admits the request without queueing."""
         self._in_progress_limit = InProgressLimit(10**9)
         pool = self._pool(item)
         return Permit(self, pool, Ticket(item.request_id, "", 2, 1.0, 1.0, item.deadline), item)
 
     def place(self, item: WorkItem, tried: frozenset[str] = frozenset()) -> Placement:
-        """Places by the policy."""
+        """Places the request on the endpoint that the policy chooses."""
         views = [
             view
             for view in self._table.candidates(item.model, item.service)
@@ -63,7 +63,7 @@
         return Placement(item, view, state, False, self)
 
     def choose(self, views: list):
-        """Chooses an endpoint."""
+        """Returns the endpoint that the policy chooses."""
         if self.policy == "random":
             return self._rng.choice(views)
         if self.policy == "round_robin":
@@ -73,10 +73,10 @@
         return min(views, key=lambda view: view.in_progress)
 
     def may_retry(self, item: WorkItem) -> bool:
-        """Retries nothing."""
+        """Returns False: baselines do not retry."""
         return False
 
 
 if __name__ == "__main__":
-    entry_daemon.RequestScheduler = PlainTraffic
+    entry_daemon.RequestScheduler = BaselineScheduler
     sys.exit(daemon.main())
--- a/bench/process.py
+++ b/bench/process.py
@@ -1,4 +1,4 @@
-"""One process that a test, the demo or a bench launched, and everything to end it."""
+"""Launches a process for a test, the demo or a bench, reads its output and ends it."""
 
 import asyncio
 import os
@@ -14,11 +14,11 @@
 
 
 class LaunchError(RuntimeError):
-    """A process did not start."""
+    """A process exited or printed no ready line while it was starting."""
 
 
 class Process:
-    """A launched process. Signals go to its own id only."""
+    """A launched process. Signals go to this process only, not to its process group."""
 
     __slots__ = ("name", "_process", "output")
 
@@ -34,47 +34,47 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self._process.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to a process that has not ended."""
+        """Sends a signal if the process is still running."""
         if self.alive:
             self._process.send_signal(number)
 
     async def wait(self, seconds: float) -> int | None:
-        """Waits for the end; returns the exit status, or None where it goes on."""
+        """Waits for the process to exit; returns its exit status, or None on a time-out."""
         try:
             return await asyncio.wait_for(self._process.wait(), seconds)
         except TimeoutError:
             return None
 
     async def kill(self) -> None:
-        """Ends the process at once, as a crash would."""
+        """Kills the process with SIGKILL, as a crash would, and waits until it has exited."""
         self.send(signal.SIGKILL)
         await self._process.wait()
 
     def text(self) -> str:
-        """Returns all that the process wrote."""
+        """Returns everything that the process has written to its output file."""
         return self.output.read_text(encoding="utf-8", errors="replace")
 
     def processor_seconds(self) -> float:
-        """Returns the processor time used so far, from the kernel's account."""
+        """Returns the CPU time used so far, from /proc."""
         fields = pathlib.Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self) -> int:
-        """Returns the resident memory now, from the kernel's account."""
+        """Returns the current resident memory, from /proc."""
         pages = pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()[1]
         return int(pages) * os.sysconf("SC_PAGE_SIZE")
 
     async def read_port(self, mark: str = "PORT") -> int:
-        """Waits until a stand-in has said where it listens."""
+        """Waits until a stand-in has printed its port, and returns the port."""
         line = await self._wait_for_line(lambda text: text.startswith(mark + " "))
         return int(line.split()[1])
 
     async def read_event(self, event: str) -> dict[str, object]:
-        """Waits until a daemon has logged an event, and returns it."""
+        """Waits until a daemon has logged an event, and returns the decoded line."""
         line = await self._wait_for_line(lambda text: f'"event":"{event}"' in text)
         return msgspec.json.decode(line)
 
@@ -91,7 +91,7 @@
 
 
 async def launch(name: str, arguments: list[str], output: pathlib.Path) -> Process:
-    """Starts a Python module with this interpreter, its output going to a file."""
+    """Runs a Python module with this interpreter and appends its output to a file."""
     with open(output, "ab") as stream:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", *arguments, cwd=ROOT, stdout=stream, stderr=stream
--- a/bench/product.py
+++ b/bench/product.py
@@ -1,9 +1,9 @@
-"""Measures the check of a large fleet's files, and the memory of daemons that do nothing.
+"""Measures the check of a large fleet's files, and the memory of idle daemons.
 
-The files are those of two years from now: 1,900 endpoints and 400 entries' worth of
-workspaces, with an overlay for each of nine data centres. The daemons accept them and are
-measured before and after, from the kernel's account. An HTTP request between processes
-is measured with the fleet's client and with the library's own resolver of addresses.
+The files have the size expected in two years: 1,900 endpoints and the workspaces of 400
+entries, with an overlay for each of nine data centres. Memory is read from /proc before and
+after the daemons accept the files. The cost of an HTTP request between processes is
+measured with the fleet's client and with the library's default address resolver.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 def make_large_base() -> dict[str, object]:
-    """Returns a base file's tree of the size of two years from now."""
+    """Returns the tree of a base file at the size expected in two years."""
     engines = {f"assistant-{n:04}": REGIONS[n % 3] for n in range(ENDPOINTS - 200)}
     services = {f"ticketing-{n:03}": REGIONS[n % 3] for n in range(200)}
     roots = {f"v{n}": digest_of(str(n).encode()) for n in range(1, 21)}
@@ -50,7 +50,7 @@
 
 
 def time_check(folder: str, base: dict[str, object]) -> tuple[list[float], FleetFiles]:
-    """Returns the seconds that reading and checking the files take, a round each."""
+    """Returns the seconds of reading and checking the files, one value per round."""
     with open(f"{folder}/fleet.yaml", "w", encoding="utf-8") as stream:
         yaml.dump(base, stream, Dumper=yaml.CSafeDumper, sort_keys=False)
     paths = []
@@ -67,7 +67,7 @@
 
 
 def time_plain(folder: str) -> float:
-    """Returns the seconds of a plain load and conversion, which stops at the first fault."""
+    """Returns the seconds of a plain load and conversion, which stop at the first error."""
     began = time.perf_counter()
     with open(f"{folder}/fleet.yaml", "rb") as stream:
         tree = yaml.load(stream, Loader=yaml.CSafeLoader)
@@ -77,7 +77,7 @@
 
 
 def note_memory(found: dict[str, float], name: str, process: Process) -> None:
-    """Notes a process's resident memory, and the part that it shares with no other process."""
+    """Records the resident memory of a process, and the part of it that is private."""
     found[name] = process.resident_bytes() / MEBIBYTE
     rollup = pathlib.Path(f"/proc/{process.pid}/smaps_rollup").read_text().splitlines()
     private = sum(int(line.split()[1]) for line in rollup if line.startswith("Private_"))
@@ -85,7 +85,7 @@
 
 
 async def measure_memory(files: FleetFiles) -> dict[str, float]:
-    """Returns the resident memory of each role, idle and with the large files in force."""
+    """Returns the memory of each role: idle, with the large files, and after ten changes."""
     found = {}
     async with Cluster() as cluster:
         await cluster.start_platform()
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""How every bench ends: one JSON line with what was measured beside what was aimed at."""
+"""The report of a bench: one JSON line of measured values beside their targets."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 class Aim(msgspec.Struct, frozen=True):
-    """One figure. It is met where the value is on the right side of the aim."""
+    """A measured value and its target: an upper bound, or a lower one with at_least."""
 
     name: str
     value: float
@@ -21,17 +21,17 @@
 
     @property
     def met(self) -> bool:
-        """Whether the value reaches the aim."""
+        """Whether the value meets its target."""
         return self.value >= self.aim if self.at_least else self.value <= self.aim
 
 
 def is_quick() -> bool:
-    """Returns whether the bench was asked for its short form with QUICK=1."""
+    """Returns whether QUICK=1 is set, which selects the short form of a bench."""
     return os.environ.get("QUICK") == "1"
 
 
 def print_report(bench: str, aims: list[Aim], details: dict[str, object] | None = None) -> None:
-    """Prints the last line of a bench and keeps it, with its details, under out/."""
+    """Prints the last line of a bench and saves it with its details in out/BENCH.json."""
     lines = [msgspec.to_builtins(aim) | {"met": aim.met} for aim in aims]
     for line in lines:
         line.pop("at_least")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -62,7 +62,7 @@
         started += [cluster.start_entry(f"entry-{i + 1}", REGIONS[i]) for i in range(2)]
         members = await asyncio.gather(*started)
         sidecars = [member for member in members if member.role == "sidecar"]
-        await asyncio.gather(*(cluster.put_proxy_before(member) for member in sidecars))
+        await asyncio.gather(*(cluster.insert_proxy(member) for member in sidecars))
         await cluster.publish_instances()
         await self._publish_new_version()
         await cluster.wait_until(self._converged, CONVERGE_SECONDS, "the first version")
@@ -204,7 +204,7 @@
         member = await self._cluster.start_sidecar(
             gone.name, gone.region, gone.kind, options=options, endpoint=endpoint
         )
-        await self._cluster.put_proxy_before(member)
+        await self._cluster.insert_proxy(member)
         await self._cluster.publish_instances()
 
     async def _kill_and_replace_sidecar(self) -> None:
