--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -42,7 +42,8 @@
     ("core_percent", "% of a core", CORE_PERCENT_LIMIT),
     ("bytes_per_second", "B/s", BYTES_LIMIT),
 )
-# One kind of endpoint, and three: a model and two services, as both firms have today.
+# Numbers of kinds of endpoint: one, and three (a model and two services), as both firms
+# that use this have today.
 GROUPS = (1, 3)
 FAILURES_A_DAY = 21
 KEYED_SHARE = 0.2
@@ -51,11 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figure:
-    """One figure worked out at the two-year size.
+    """One figure, extrapolated to the size expected in two years.
 
     Attributes:
-      limit: What it must stay under; None where the users state none.
-      basis: The sizes measured and how the figure follows from them.
+      limit: The upper bound that the users state; None if they state none.
+      basis: The measured sizes and how the figure is derived from them.
     """
 
     role: str
@@ -68,7 +69,7 @@
 
     @property
     def outside(self) -> bool:
-        """Whether the figure is over its limit."""
+        """Whether the figure exceeds its limit."""
         return self.limit is not None and self.value > self.limit
 
     def row(self) -> str:
@@ -82,7 +83,7 @@
 
 
 def read_reports() -> dict[str, dict]:
-    """Returns the reports by bench; one that was never taken is an empty map."""
+    """Returns the reports by bench; a missing report is an empty dict."""
     reports = {}
     for bench in BENCHES:
         path = MEASURED_FOLDER / f"{bench}.json"
@@ -91,16 +92,16 @@
 
 
 def fit(points: list[tuple[float, float]], at: float) -> tuple[float, str]:
-    """Returns a figure at a size from a line through the points, and says how.
+    """Extrapolates a figure to a size; returns the value and a description of its basis.
 
-    The line is least squares; with one point the figure is taken to stay as it is.
+    Fits a line by least squares; with only one measured size the figure is taken as constant.
     """
     sizes = ", ".join(f"{size:.3g}" for size, _ in points)
     if len({size for size, _ in points}) < 2:
         return points[0][1], f"measured at {sizes} only, taken as constant"
     slope, start = statistics.linear_regression(*zip(*points, strict=True))
     if slope < 0.0:
-        # A figure that falls is not carried on downwards, which would end below nothing.
+        # A falling figure is not extrapolated, since the line would end below zero.
         return max(points)[1], f"falls from {sizes}; taken as at {max(points)[0]:g}"
     reach = at / max(size for size, _ in points)
     worked_out = max(0.0, start + slope * at)
@@ -108,16 +109,16 @@
 
 
 def find_runs(report: dict, key: str, wanted: str) -> list[dict]:
-    """Returns the runs of a report that were made our way, smallest first."""
+    """Returns the runs of a report whose key has the wanted value, smallest first."""
     runs = [run for run in report.get("details", {}).get("runs", []) if run.get(key) == wanted]
     return sorted(runs, key=lambda run: run.get("size", run.get("replicas", 0)))
 
 
 def entry_figures(runs: list[dict]) -> list[Figure]:
-    """Returns what control costs an entry, from its messages, which the subset bounds.
+    """Returns the cost of control at an entry, extrapolated by its number of messages.
 
-    A line over the size of the fleet would be wrong here: small fleets do not fill the subset,
-    and beyond it neither streams nor messages grow.
+    The size of the fleet is no basis for a line here: small fleets do not fill the endpoint
+    subset, and once it is full neither streams nor messages grow with the fleet.
     """
     largest = runs[-1]["idle"]["messages_per_second"]["entry"]
     beats = 1.0 / peer_link.STATUS_HEARTBEAT_SECONDS
@@ -146,10 +147,10 @@
 
 
 def control_figures(report: dict) -> list[Figure]:
-    """Returns what control costs each role and the configuration service.
+    """Returns the cost of control at each role and at the configuration service.
 
-    Readers and trees are made per data centre, so that what they cost follows from the members
-    of one data centre, not of the fleet.
+    Readers and distribution trees are chosen per data centre, so their cost depends on the
+    number of members in one data centre, not in the fleet.
     """
     runs = find_runs(report, "control", "peers")
     if not runs:
@@ -161,7 +162,7 @@
             points = []
             for run in runs:
                 idle = run["idle"][kind][role]
-                # The bench changes once a second; the users change 1,500 times a day.
+                # The bench publishes one change a second; the users publish 1,500 changes a day.
                 change = max(0.0, run["changing"][kind][role] - idle)
                 per_centre = run["size"] / len(REGIONS)
                 points.append((per_centre, idle + CHANGES_PER_SECOND * change))
@@ -187,7 +188,7 @@
 
 
 def weight_figures(report: dict) -> list[Figure]:
-    """Returns what a version costs the origin, the thin links and each sidecar."""
+    """Returns the cost of a version's rollout at the origin, the thin links and each sidecar."""
     runs = find_runs(report, "way", "peers")
     if not runs:
         return []
@@ -219,7 +220,7 @@
 
 
 def memory_figures(report: dict) -> list[Figure]:
-    """Returns the memory of whole processes and what control adds to the interpreter."""
+    """Returns the memory of each role, and the part that a large fleet file adds to it."""
     memory = report.get("details", {}).get("memory", {})
     figures = []
     for role in ("entry", "sidecar"):
@@ -242,7 +243,7 @@
 
 
 def relay_figures(report: dict) -> list[Figure]:
-    """Returns what relaying tokens costs an entry, and how many entries the peak needs."""
+    """Returns the cost of relaying tokens at an entry, and the cores that the peak needs."""
     costs = report.get("details", {}).get("costs", {}).get("ours", {})
     if "entry_us" not in costs:
         return []
@@ -259,7 +260,7 @@
 
 
 def ledger_figures(report: dict) -> list[Figure]:
-    """Returns the memory of remembered calls at a service's sidecar."""
+    """Returns the memory of the idempotency keys that a service's sidecar remembers."""
     values = {aim["name"]: aim["value"] for aim in report.get("aims", [])}
     if "bytes_per_key" not in values:
         return []
@@ -274,7 +275,7 @@
     ]
 
 
-MENDS = {
+REMEDIES = {
     "memory, resident": "the interpreter and its libraries fill the limit before we begin; counted "
     "as private memory, or as what control adds, it is inside",
     "relaying 6,250 tokens a second": "more entries, several daemons an instance, or fewer, larger "
@@ -288,7 +289,7 @@
 
 
 def render_page(reports: dict[str, dict]) -> str:
-    """Returns the page: what falls outside first, then every figure, then failures."""
+    """Returns the page: figures over their limits, then all figures, then failures."""
     figures = control_figures(reports["control"]) + weight_figures(reports["rollout"])
     figures += relay_figures(reports["load"]) + memory_figures(reports["product"])
     figures += ledger_figures(reports["outcomes"])
@@ -305,7 +306,7 @@
     ]
     outside = [figure for figure in figures if figure.outside]
     for figure in outside:
-        mend = MENDS.get(figure.name, "not known yet")
+        mend = REMEDIES.get(figure.name, "not known yet")
         lines.append(
             f"- {figure.role}: {figure.name} {figure.value:.3g} {figure.unit}, "
             f"limit {figure.limit:g}. What would mend it: {mend}."
@@ -329,7 +330,7 @@
 
 
 def failure_lines(reports: dict[str, dict]) -> list[str]:
-    """Returns what failures cost at their expected rate, from what was measured."""
+    """Returns the lines on the cost of failures at their expected rate."""
     values = {aim["name"]: aim["value"] for aim in reports["outcomes"].get("aims", [])}
     per_worker = 12_000 / WORKERS
     lines = ["## Failures at their expected rate", ""]
@@ -356,7 +357,7 @@
 
 
 def main() -> int:
-    """Writes the page, taking new reports from out/ first where asked to."""
+    """Writes the page, after copying the reports named by --take from out/."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--take", nargs="*", default=[], help="benches whose reports to take")
     options = parser.parse_args()
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,10 +1,10 @@
-"""The demo: real bytes along the whole path, while things change and fail.
+"""The demo: a fleet of real processes that keeps its guarantees under changes and failures.
 
 Starts stand-ins and daemons on loopback: two entries and six model endpoints in three
 regions, and two endpoints of a billing service. Rolls out a version of 64 MiB under live
 load, changes the wanted version once while it is in flight, kills an instance, changes an
 overlay, publishes a faulty revision, and stops an instance gracefully. The last line is one
-JSON object; the exit status is 1 where it breaks a promise.
+JSON object; the exit status is 1 if it shows that a guarantee was violated.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 def say(text: str) -> None:
-    """Prints one line of what happens."""
+    """Prints one line of progress."""
     print(text, flush=True)
 
 
@@ -48,7 +48,7 @@
     """One run of the demo.
 
     Attributes:
-      missed: What did not happen in time.
+      missed: The steps that did not complete in time.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -68,7 +68,7 @@
         self.missed: list[str] = []
 
     async def run(self) -> dict[str, object]:
-        """Plays every step and returns the figures."""
+        """Runs all steps and returns the figures."""
         await self.start_fleet()
         await self.roll_out_first()
         load = asyncio.ensure_future(
@@ -102,7 +102,7 @@
         say(f"started {len(cluster.members)} daemons and {endpoints} endpoints")
 
     async def roll_out_first(self) -> None:
-        """Brings a small version everywhere, so that there is something to answer with."""
+        """Rolls out a small version, so that the engines can answer requests."""
         wanted = {"total_bytes": FIRST_VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self._roots["v1"] = await self._cluster.make_version(**wanted)
         await self._cluster.publish(self.base("v1"))
@@ -111,7 +111,7 @@
         await self.wait(self.answers, CHANGE_SECONDS, "the first whole answer")
 
     async def change_in_flight(self) -> None:
-        """Rolls out a large version, another one while it is in flight, and kills an instance."""
+        """Starts a large rollout, replaces it while it is in flight, and kills an instance."""
         cluster = self._cluster
         wanted = {"total_bytes": VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self._roots["v2"] = await cluster.make_version(seed=2, **wanted)
@@ -145,7 +145,7 @@
         say(f"an overlay's change in force at every daemon after {seconds:.2f} s")
 
     async def publish_faults(self) -> None:
-        """Publishes a revision with faults, which is to be in force nowhere."""
+        """Publishes an invalid revision, which every daemon has to refuse."""
         faulty = self.base("v9") | {"modles": {}}
         revision = await self._cluster.publish(faulty)
         seconds = await self.wait(
@@ -155,7 +155,7 @@
         await self.show_status()
 
     async def stop_gracefully(self) -> None:
-        """Stops one sidecar under load, which is to cut off no request."""
+        """Stops one sidecar under load, which must not interrupt any request."""
         before = self.count_broken()
         stopped = self._cluster.members[self._left[0]]
         began = time.monotonic()
@@ -168,7 +168,7 @@
         say(f"{stopped.name} stopped gracefully in {time.monotonic() - began:.1f} s under load")
 
     async def judge(self) -> dict[str, object]:
-        """Returns the figures, counted at the endpoints where that is possible."""
+        """Returns the figures, from the endpoints' own counters where these exist."""
         for problem in self._caller.problems[:10]:
             say(f"problem: {problem}")
         for name in self.missed:
@@ -188,13 +188,13 @@
         }
 
     def base(self, version: str) -> dict[str, object]:
-        """Returns the base file's tree with a version wanted."""
+        """Returns the tree of a base file that wants a version in force."""
         base = make_base(self._roots, version, self._engines, self._services, VERSION_BYTES)
-        # The link between regions is scaled up with the origin's, so that the demo is short.
+        # The links between regions are as fast as the origin's, which keeps the demo short.
         return base | {"links": {"between_regions_mbit": BETWEEN_REGIONS_MBIT}}
 
     async def wait(self, check, seconds: float, what: str) -> float:
-        """Waits for something; what does not happen in time is noted, and the demo goes on."""
+        """Waits for a condition; on a time-out adds it to `missed` and continues the demo."""
         try:
             return await self._cluster.wait_until(check, seconds, what)
         except TimeoutError:
@@ -202,7 +202,7 @@
             return seconds
 
     async def is_live(self, version: str) -> bool:
-        """Returns whether every engine left answers with a version, asked of the engines."""
+        """Returns whether every remaining engine reports a version as active."""
         for name in self._left:
             counters = await self._cluster.counters(self._cluster.members[name].endpoint_port)
             if counters["active"] != version:
@@ -210,19 +210,19 @@
         return True
 
     async def answers(self) -> bool:
-        """Returns whether each entry answers a request whole."""
+        """Returns whether each entry gives a whole answer to a request."""
         for port in self._caller.entry_ports:
             if await Caller([port], seed=1).generate("hello", 3) != "whole":
                 return False
         return True
 
     async def all_say(self, field: str, value: object) -> bool:
-        """Returns whether every living daemon's status has a value."""
+        """Returns whether the status of every running daemon has a value in a field."""
         alive = [name for name, member in self._cluster.members.items() if member.daemon.alive]
         return all([(await self._cluster.status(name))[field] == value for name in alive])
 
     async def watch_revisions(self) -> None:
-        """Counts each time that a daemon's revision goes down."""
+        """Counts how often a daemon reports a lower revision than before."""
         while True:
             for name, member in list(self._cluster.members.items()):
                 if not member.daemon.alive:
@@ -237,7 +237,7 @@
             await asyncio.sleep(0.2)
 
     async def show_status(self) -> None:
-        """Prints what `wasabidrum status` would."""
+        """Prints the output of `wasabidrum status`."""
         url = f"http://127.0.0.1:{self._cluster.platform_port}/instances"
         client = FleetClient(url)
         try:
@@ -248,12 +248,12 @@
             self.missed.append(f"status: {error}")
 
     def count_broken(self) -> int:
-        """Returns how many requests did not get their answer, refused ones left out."""
+        """Returns the number of requests without an answer; refused ones are not counted."""
         return sum(self._caller.counts[name] for name in ("failed", "unknown", "lost"))
 
 
 async def play() -> int:
-    """Runs the demo in a cluster of its own."""
+    """Runs the demo in a new cluster; returns the exit status."""
     async with Cluster() as cluster:
         figures = await Demo(cluster).run()
     broken = demo_figures.find_broken(figures)
--- a/bench/demo_figures.py
+++ b/bench/demo_figures.py
@@ -1,4 +1,4 @@
-"""What the demo's requests came to, and which figures break a promise."""
+"""Counts the results of the demo's requests and finds violated guarantees."""
 
 import collections
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def count_runs(folder: pathlib.Path) -> collections.Counter[str]:
-    """Returns how often each charge ran, from the journals that the services kept."""
+    """Returns how often each charge ran, from the journals of the services."""
     runs: collections.Counter[str] = collections.Counter()
     for journal in folder.glob("*.journal"):
         runs.update(journal.read_text().split())
@@ -21,12 +21,12 @@
 def count_requests(
     caller: Caller, engines: list[dict[str, object]], folder: pathlib.Path
 ) -> dict[str, int]:
-    """Returns what became of the requests, judged by callers and by endpoints.
+    """Returns the results of the requests, as seen by the caller and by the endpoints.
 
     Args:
-      caller: Who sent them; each counts once, however often it was resent.
-      engines: The counters of the engines, which know of partial and mixed weights.
-      folder: Where the services' journals are.
+      caller: The caller that sent them; a request that was resent counts once.
+      engines: The counters of the engines, which detect partial and mixed weights.
+      folder: The folder with the journals of the services.
     """
     runs = count_runs(folder)
     untrue = [mark for mark, became in caller.charges.items() if became == "refused" and runs[mark]]
@@ -43,7 +43,7 @@
 
 
 def find_broken(figures: dict[str, object]) -> list[str]:
-    """Returns the names of the figures that break a promise."""
+    """Returns the names of the figures that violate a guarantee."""
     broken = [name for name in MUST_BE_ZERO if figures[name] != 0]
     if figures["replicas_live"] != figures["replicas_wanted"]:
         broken.append("replicas_live")
--- a/bench/lost_requests.py
+++ b/bench/lost_requests.py
@@ -2,8 +2,8 @@
 
     python3 -m bench.lost_requests LOG [--window SECONDS] [--from SECONDS] [--to SECONDS]
 
-LOG holds the daemons' JSON lines, each of which may follow other words on its line. Times are
-seconds since the first request, and each row counts the requests that ended in its window.
+LOG holds the daemons' JSON lines; other text may precede the JSON on a line. Times are seconds
+since the first request ended, and each row counts the requests that ended in its window.
 """
 
 import argparse
@@ -16,7 +16,7 @@
 REFUSED = "request_refused"
 FAILED = "request_failed"
 DONE = "request_done"
-# What changes how many requests can be served, told between the rows.
+# Events that change how many requests can be served; they are listed after the rows.
 MILESTONES = frozenset(
     (
         "version_named",
@@ -33,7 +33,7 @@
         "daemon_stopped",
     )
 )
-# Refusals of requests that no configuration allows; they are no loss.
+# Statuses of invalid or unauthorized requests, whose refusal does not count as a loss.
 PROPER_STATUSES = frozenset((400, 401, 403, 404, 413, 431))
 SERVED = "served"
 
@@ -43,10 +43,10 @@
     """One line of a daemon's log.
 
     Attributes:
-      at: The daemon's time, in seconds.
-      daemon: Who wrote it.
-      event: The event's name.
-      fields: The rest of the line.
+      at: The timestamp by the daemon's clock, in seconds.
+      daemon: The name of the daemon that wrote the line.
+      event: The name of the event.
+      fields: The other fields of the line.
     """
 
     at: float
@@ -56,7 +56,7 @@
 
 
 def read_line(text: str) -> LogLine | None:
-    """Returns the log line that a line of text ends with, or None where there is none."""
+    """Returns the log line at the end of a line of text, or None if there is none."""
     start = text.find('{"t"')
     if start < 0:
         return None
@@ -70,7 +70,7 @@
 
 
 def cause_of(line: LogLine) -> str | None:
-    """Returns why a request was lost, "served" if it was not, None if it is no loss to explain."""
+    """Returns why a request was lost, SERVED if it was served, None for other lines."""
     fields = line.fields
     if line.event == DONE:
         return SERVED
@@ -87,7 +87,7 @@
 def count_by_window(
     lines: list[LogLine], began: float, window: float
 ) -> dict[int, collections.Counter[str]]:
-    """Returns how many requests ended for each cause, by the window's first second."""
+    """Returns the number of requests by cause, by the first second of the window."""
     rows: dict[int, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     for line in lines:
         cause = cause_of(line)
@@ -97,12 +97,12 @@
 
 
 def find_beginning(lines: list[LogLine]) -> float:
-    """Returns when the first request ended."""
+    """Returns the time at which the first counted request ended."""
     return min((line.at for line in lines if cause_of(line) is not None), default=0.0)
 
 
 def format_tables(lines: list[LogLine], window: float, first: float, last: float) -> list[str]:
-    """Returns the rows by window, the totals by cause, and the milestones in between."""
+    """Returns the totals by cause, the rows by window, and the milestones."""
     began = find_beginning(lines)
     rows = count_by_window(lines, began, window)
     totals: collections.Counter[str] = collections.Counter()
--- a/bench/lost_requests_test.py
+++ b/bench/lost_requests_test.py
@@ -1,4 +1,4 @@
-"""Tests of the table of lost requests."""
+"""Tests of the tables of lost requests."""
 
 import json
 import unittest
@@ -7,16 +7,16 @@
 
 
 def line(at: float, event: str, **fields: object) -> str:
-    """Returns a line as the users' bench prints it: other words, then the daemon's own."""
+    """Returns a line as the users' bench prints it: a prefix, then the daemon's JSON."""
     said = {"t": at, "n": 1, "event": event, "daemon": "entry-1", **fields}
     return f"  {at:.4f} front-1 {json.dumps(said)}"
 
 
 class LostRequestsTest(unittest.TestCase):
-    """What counts as lost, and for what cause."""
+    """Classification of requests, and the tables made from it."""
 
     def test_requests_are_counted_by_cause_and_window(self) -> None:
-        """A refusal for want of weights is told apart from one for want of room."""
+        """Refusals without usable weights are counted apart from refusals under overload."""
         text = [
             line(100.0, "request_done"),
             line(100.5, "request_refused", code="overloaded", endpoints_known=6, status=503),
@@ -33,7 +33,7 @@
         )
 
     def test_milestones_stand_beside_the_rows(self) -> None:
-        """What happened to the weights is told with its time since the first request."""
+        """Events of the weights are listed with their time since the first request ended."""
         text = [line(50.0, "request_done"), line(55.25, "version_named", version=2)]
         lines = [found for found in map(lost_requests.read_line, text) if found is not None]
         tables = lost_requests.format_tables(lines, 2.0, 0.0, 10.0)
--- a/bench/measurements_page.py
+++ b/bench/measurements_page.py
@@ -1,4 +1,4 @@
-"""Makes docs/MEASUREMENTS.md: every aim of every report taken, then the notes of each matter."""
+"""Generates docs/MEASUREMENTS.md: all figures of the stored reports, then the notes."""
 
 import json
 import pathlib
@@ -13,7 +13,7 @@
 
 
 def report_lines(report: dict) -> list[str]:
-    """Returns a row for each aim of a report."""
+    """Returns a table row for each figure of a report."""
     lines = []
     for aim in report["aims"]:
         baseline = "" if aim["baseline"] is None else f"{aim['baseline']:.4g}"
@@ -26,7 +26,7 @@
 
 
 def render_page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     paths = sorted(MEASURED_FOLDER.glob("*.json"))
     reports = [json.loads(path.read_text(encoding="utf-8")) for path in paths]
     rows = [line for report in reports for line in report_lines(report)]
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -36,12 +36,12 @@
 
 
 def say(text: str) -> None:
-    """Prints one line of what happens."""
+    """Prints one line of progress."""
     print(text, flush=True)
 
 
 def measure_memory() -> float:
-    """Returns the bytes that one remembered key costs with its answer."""
+    """Returns the bytes of memory per idempotency key with its stored answer."""
     tracemalloc.start()
     ledger = make_ledger("0193c0ffee000-aabbccddeeff")
     before = tracemalloc.get_traced_memory()[0]
@@ -56,7 +56,7 @@
 
 
 async def measure_latency(fleet: OutcomesFleet) -> dict[str, float]:
-    """Returns median milliseconds of a call by how it is sent, interleaved one by one."""
+    """Returns the median milliseconds of a call by kind; calls of all kinds are interleaved."""
     loop = asyncio.get_running_loop()
     keys = [await fleet.issue_key() for _ in range(LATENCY_CALLS)]
     seconds: dict[str, list[float]] = {"quote": [], "unkeyed": [], "keyed": []}
@@ -72,7 +72,7 @@
 
 
 async def play_soak(fleet: OutcomesFleet, seed: int) -> dict[str, object]:
-    """Plays failures throughout; returns what was told and what ran."""
+    """Runs calls under continuous failures; returns reported outcomes and actual runs."""
     caller = OutcomesCaller(fleet, seed)
     chaos = OutcomesChaos(fleet, caller, seed)
     for name in SERVICES:
@@ -90,7 +90,7 @@
 
 
 async def play_planned_stops(fleet: OutcomesFleet, seed: int) -> dict[str, object]:
-    """Replaces every instance by a planned stop under streams and charges, nothing else."""
+    """Replaces each sidecar by a planned stop under load, without other failures."""
     caller = OutcomesCaller(fleet, seed)
     chaos = OutcomesChaos(fleet, caller, seed)
     ended: list[str] = []
@@ -117,7 +117,7 @@
         leaving = fleet.members[name].daemon
         leaving.send(signal.SIGTERM)
         stopped.append(leaving)
-        # The list goes on to say that it is live.
+        # The instance list still shows the instance as live.
         await asyncio.sleep(2.0)
         await fleet.replace_sidecar(name)
         await asyncio.sleep(0.5)
@@ -140,7 +140,7 @@
 
 
 def last_work_seconds(daemon) -> float:
-    """Returns seconds from the start of leaving to the last new request received."""
+    """Returns the seconds from the start of leaving to the last new request received."""
     began = None
     last = 0.0
     for line in daemon.text().splitlines():
@@ -152,7 +152,7 @@
 
 
 def make_aims(soak: dict, stops: dict, latency: dict[str, float], key_bytes: float) -> list[Aim]:
-    """Returns the figures beside what is aimed at."""
+    """Returns the figures beside their targets."""
     charges = max(1, soak["charges"])
     naive = soak["naive_double_runs"] / max(1, soak["naive_quotes"])
     first = soak["first_told"].get("unknown", 0) / charges
@@ -182,7 +182,7 @@
 
 
 async def run(seed: int) -> int:
-    """Runs all phases and prints the report; returns 1 where a promise was broken."""
+    """Runs all phases and prints the report; returns 1 if a guarantee was violated."""
     async with OutcomesFleet() as fleet:
         await fleet.start_all(SERVICES, ENGINES, ENTRIES)
         say("fleet started")
--- a/bench/outcomes_caller.py
+++ b/bench/outcomes_caller.py
@@ -1,4 +1,4 @@
-"""Callers who resend as the callers' page tells them to, and remember all they were told."""
+"""A caller that resends as the callers' documentation says, and records every outcome."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ChargeRecord:
-    """One charge: how it was sent, and what was told of it each time."""
+    """A charge: how it was sent, and the outcome, code and key of each attempt."""
 
     kind: str
     told: list[str] = dataclasses.field(default_factory=list)
@@ -38,7 +38,7 @@
         self.live_entries = list(range(len(fleet.entries)))
 
     async def run_open_loop(self, per_second: float, calls: int) -> None:
-        """Sends so many calls, whatever becomes of the earlier ones."""
+        """Sends a number of calls at random times, without waiting for earlier answers."""
         running: set[asyncio.Task] = set()
         for number in range(calls):
             await asyncio.sleep(self._random.expovariate(per_second))
@@ -63,7 +63,7 @@
         return self.checker.generate(f"shop {self._random.randrange(500)}", TOKENS, kind < 0.95)
 
     async def charge(self, mark: str, kind: str) -> ChargeRecord:
-        """Makes a charge until its outcome is known or patience ends."""
+        """Sends a charge until its outcome is known or RESENDS attempts were made."""
         record = self.charges[mark] = ChargeRecord(kind)
         key = await self._issue() if kind == "keyed" else ""
         for attempt in range(RESENDS):
@@ -101,7 +101,7 @@
             return "lost", {}
 
     def judge(self) -> dict[str, object]:
-        """Returns counts of what was told, judged by the endpoints' journals."""
+        """Compares the reported outcomes with the journals of the services; returns counts."""
         runs: collections.Counter = collections.Counter()
         for journal in self._fleet.folder.glob("*.journal"):
             runs.update(journal.read_text().split())
--- a/bench/outcomes_chaos.py
+++ b/bench/outcomes_chaos.py
@@ -1,4 +1,4 @@
-"""Failures of every kind at random times, following from a seed."""
+"""Injects failures of all kinds at random times, reproducible from a seed."""
 
 import asyncio
 import random
@@ -21,7 +21,11 @@
 
 
 class OutcomesChaos:
-    """Plays failures against a fleet; each kind once before any comes again."""
+    """Injects failures into a fleet.
+
+    Shuffles the list of actions, in which frequent kinds stand several times, and runs all of
+    it before it is shuffled again.
+    """
 
     def __init__(self, fleet: OutcomesFleet, caller: OutcomesCaller, seed: int) -> None:
         self._fleet = fleet
@@ -32,7 +36,7 @@
         self.played: list[str] = []
 
     async def play(self, shortest_pause: float = 0.2, longest_pause: float = 0.8) -> None:
-        """Plays until it is cancelled."""
+        """Runs actions until the task is cancelled."""
         actions: list = []
         while True:
             if not actions:
@@ -57,7 +61,7 @@
         ]
 
     async def spoil_link(self) -> None:
-        """Spoils the links to one endpoint for a moment, of one entry or of all."""
+        """Injects a fault into the links to one endpoint for a moment, from one or all entries."""
         name = self._random.choice(self._services + self._engines)
         entry = self._random.choice(["", *(entry.name for entry in self._fleet.entries)])
         await self._fleet.spoil(name, entry, **self._random.choice(LINK_FAULTS))
@@ -65,7 +69,7 @@
         await self._fleet.spoil(name)
 
     async def restart_service(self) -> None:
-        """Kills a service's process and starts it again at the same port."""
+        """Kills a service process and starts it again on the same port."""
         member = self._fleet.members[self._random.choice(self._services)]
         await member.endpoint.kill()
         await asyncio.sleep(self._random.uniform(0.0, 0.5))
@@ -74,7 +78,7 @@
         await self.slow_down(member.name)
 
     async def slow_down(self, name: str) -> None:
-        """Makes a service slow enough that failures meet calls in progress."""
+        """Slows down a service, so that failures occur while calls are in progress."""
         port = self._fleet.members[name].endpoint_port
         await self._fleet.put_faults(port, delay_seconds=0.01, delay_after_seconds=0.03)
 
@@ -86,14 +90,14 @@
         await self._fleet.replace_sidecar(name)
 
     async def pause_sidecar(self) -> None:
-        """Pauses a sidecar; it wakes believing what was once true."""
+        """Pauses a sidecar, which resumes with stale state."""
         daemon = self._fleet.members[self._random.choice(self._services)].daemon
         daemon.send(signal.SIGSTOP)
         await asyncio.sleep(self._random.uniform(0.3, 2.0))
         daemon.send(signal.SIGCONT)
 
     async def replace_paused_sidecar(self) -> None:
-        """Pauses a sidecar, replaces it, and lets the old one wake."""
+        """Pauses a sidecar, replaces it, and resumes the old one."""
         name = self._random.choice(self._services)
         self._fleet.members[name].daemon.send(signal.SIGSTOP)
         await asyncio.sleep(0.2)
@@ -104,7 +108,7 @@
         old.daemon.send(signal.SIGTERM)
 
     async def stop_sidecar(self) -> None:
-        """Replaces a sidecar of any kind by a planned stop."""
+        """Replaces a sidecar of an engine or a service by a planned stop."""
         name = self._random.choice(self._services + self._engines)
         old = await self._fleet.replace_sidecar(name)
         old.daemon.send(signal.SIGTERM)
@@ -124,7 +128,7 @@
         await self._replace_entry(index)
 
     async def stop_entry(self) -> None:
-        """Replaces an entry by a planned stop; the balancer notices a little later."""
+        """Replaces an entry by a planned stop, which the load balancer notices after a delay."""
         index = self._random.randrange(len(self._fleet.entries))
         self._fleet.entries[index].daemon.send(signal.SIGTERM)
         await asyncio.sleep(BALANCER_LAG_SECONDS)
--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose every entry sees every sidecar through a link that can be spoilt."""
+"""A fleet with a fault-injecting proxy between each entry and each sidecar."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class OutcomesFleet(Cluster):
-    """Two entries, and endpoints behind a fault-injecting proxy for each entry."""
+    """Entries, and endpoints that each entry reaches through a separate proxy."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,9 +34,9 @@
     async def start_all(
         self, services: list[str], engines: list[str], entries: int = 2, **settings: object
     ) -> None:
-        """Starts everything and waits until each entry answers.
+        """Starts all processes and waits until each entry answers.
 
-        Each entry reads a list of its own, so that a test can have the lists differ.
+        Each entry reads a separate instance list, so that a test can make the lists differ.
         """
         await self.start_platform()
         started = [self.start_sidecar(name, REGION, "service", **settings) for name in services]
@@ -59,9 +59,9 @@
     def make_files(
         self, version: str = "v1", roots: dict[str, str] | None = None
     ) -> dict[str, object]:
-        """Returns the base; its quotes are listed as idempotent, its charges are not.
+        """Returns a base file that lists quotes as idempotent and charges as not idempotent.
 
-        A version comes to all engines at once, as its stages are not what is tested here.
+        A version goes to all engines at once, because staged rollout is not under test here.
         """
         base = make_base(roots or {"v1": self.root}, version, *self.places)
         base["models"]["summaries"] |= {"away_fraction": 1.0, "soak_seconds": 0.0}
@@ -71,8 +71,9 @@
         return base
 
     async def add_entry(self, name: str) -> Member:
-        """Starts an entry with a list of its own."""
-        # With control by peers a list that lacks a member is made good by other members.
+        """Starts an entry with a separate instance list."""
+        # With control over peers, an entry learns from other members of those that its list lacks;
+        # start_listed_entry therefore uses control by the service.
         process = await self.launch(f"list-{name}", "standins.platform")
         self.platforms[name] = await process.read_port()
         entry = await self.start_listed_entry(name)
@@ -80,7 +81,7 @@
         return entry
 
     async def start_listed_entry(self, name: str) -> Member:
-        """Starts a daemon in an entry's slot."""
+        """Starts an entry daemon that reads the instance list of that name."""
         shared = f"http://127.0.0.1:{self.platform_port}"
         platform = {
             "configuration": f"{shared}/configuration/fleet",
@@ -90,7 +91,7 @@
         return await self.start_entry(name, REGION, platform=platform, control="service")
 
     async def replace_sidecar(self, name: str) -> Member:
-        """Starts another daemon, and another engine, in a slot; returns the old member."""
+        """Starts a new sidecar under a name, with a new engine if it had one; returns the old one."""
         old = self.members[name]
         endpoint = (old.endpoint, old.endpoint_port) if old.kind == "service" else None
         proxies = [self.proxies[entry.name, name] for entry in self.entries]
@@ -104,14 +105,14 @@
         return old
 
     async def add_link(self, entry: str, endpoint: str) -> None:
-        """Puts a proxy between an entry and an endpoint's sidecar of now."""
+        """Starts a proxy between an entry and the current sidecar of an endpoint."""
         proxy, port, control = await self.start_proxy(self.members[endpoint].http_port)
         self.proxies[entry, endpoint] = proxy
         self.link_ports[entry, endpoint] = port
         self.links[entry, endpoint] = control
 
     async def list_for(self, entry: str, left_out: tuple[str, ...] = ()) -> None:
-        """Publishes what one entry's list says."""
+        """Publishes the instance list of one entry, without the endpoints left out."""
         instances = []
         for (whose, name), port in self.link_ports.items():
             member = self.members[name]
@@ -133,19 +134,19 @@
         await self._put("/control/instances", body, self.platforms[entry])
 
     async def spoil(self, endpoint: str, entry: str = "", **faults: object) -> None:
-        """Sets the faults of the links to an endpoint, of one entry or of all."""
+        """Sets the faults of the links to an endpoint, from one entry or from all."""
         for (whose, name), control in self.links.items():
             if name == endpoint and entry in ("", whose):
                 await self.put_link_faults(control, **faults)
 
     async def spoil_for(self, seconds: float, endpoint: str, **faults: object) -> None:
-        """Spoils the links to an endpoint for some time."""
+        """Sets faults of the links to an endpoint for some time, then clears them."""
         await self.spoil(endpoint, **faults)
         await asyncio.sleep(seconds)
         await self.spoil(endpoint)
 
     async def issue_key(self, entry: int = 0, bearer: str = CALLER_KEY) -> str:
-        """Gets a key; one made up where the fleet under test issues none."""
+        """Requests an idempotency key; returns a random UUID if the fleet issues none."""
         response = await self.send(entry, "/v1/idempotency-keys", {"service": "tally"}, bearer)
         if response.code != 201:
             return str(uuid.uuid4())
@@ -160,7 +161,7 @@
         bearer: str = CALLER_KEY,
         path: str = "charge",
     ) -> tuple[str, dict]:
-        """Makes a charge; returns its outcome and the body of its answer."""
+        """Sends a charge; returns its outcome and the body of the answer."""
         body = {"mark": mark, "amount": 5}
         response = await self.send(
             entry, f"/services/tally/{path}", body, bearer, key, milliseconds
@@ -194,7 +195,7 @@
         )
 
     async def find_running(self, engines: tuple[str, ...]) -> str:
-        """Waits until an engine generates, and returns its name."""
+        """Waits until one of the engines is generating, and returns its name."""
         found = []
 
         async def runs() -> bool:
@@ -208,7 +209,7 @@
         return found[0]
 
     def runs(self, mark: str) -> int:
-        """Returns how often a charge ran, from the journals of the services."""
+        """Returns how many times a charge ran, from the journals of the services."""
         journals = pathlib.Path(self.folder).glob("*.journal")
         return sum(journal.read_text().split().count(mark) for journal in journals)
 
--- a/bench/proof_page.py
+++ b/bench/proof_page.py
@@ -1,7 +1,7 @@
-"""Makes docs/PROOF.md from the rows under docs/proof, and checks that every test named exists.
+"""Generates docs/PROOF.md from the rows under docs/proof; checks that each named test exists.
 
-Each row crosses one promise with one or more failures, by the short names below, and names
-the test that brings the failure about.
+Each row names one guarantee, one or more failures (by the short names below) and the test
+that checks the guarantee under these failures.
 """
 
 import dataclasses
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProofRow:
-    """One test that proves a promise under failures."""
+    """One test that checks a guarantee under failures."""
 
     promise: str
     failures: tuple[str, ...]
@@ -51,7 +51,7 @@
 
 
 def read_rows() -> tuple[list[ProofRow], list[str]]:
-    """Returns every row, and every fault found in them with its place."""
+    """Returns all rows, and the errors found in them with file and line."""
     rows = []
     faults = []
     for path in sorted(ROWS_FOLDER.glob("*.md")):
@@ -71,7 +71,7 @@
 
 
 def check_row(row: ProofRow) -> list[str]:
-    """Returns the faults of one row."""
+    """Returns the errors in one row."""
     faults = []
     if row.promise not in PROMISES:
         faults.append(f"{row.place}: no promise is called {row.promise!r}")
@@ -84,7 +84,7 @@
 
 
 def test_exists(name: str) -> bool:
-    """Returns whether a dotted name is a test method, a test class or a state machine's test."""
+    """Returns whether a dotted name is a test method, a test class or a state machine test."""
     parts = name.split(".")
     for split in range(len(parts) - 1, 0, -1):
         try:
@@ -99,7 +99,7 @@
 
 
 def render_page(rows: list[ProofRow]) -> str:
-    """Returns the page: what is proved, crossed, then each row, then what is not proved."""
+    """Returns the page: the table of guarantees by failures, all rows, then the gaps."""
     lines = ["# What is proved", ""]
     lines += [
         "Made by `python -m bench.proof_page` from the rows under docs/proof; do not edit.",
@@ -128,7 +128,7 @@
 
 
 def main() -> int:
-    """Writes the page; exit status 1 where a row is at fault."""
+    """Writes the page; returns exit status 1 if a row has an error."""
     rows, faults = read_rows()
     for fault in faults:
         print(fault)
--- a/bench/proof_page_test.py
+++ b/bench/proof_page_test.py
@@ -1,4 +1,4 @@
-"""Holds docs/PROOF.md to the tests that exist."""
+"""Checks that docs/PROOF.md names existing tests and is up to date."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class ProofPageTest(unittest.TestCase):
-    """Every test that the page names exists, and the page is the one its rows make."""
+    """Every test on the page exists, and the page matches what its rows generate."""
 
     def test_every_row_names_a_test(self) -> None:
         rows, faults = proof_page.read_rows()
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -1,16 +1,15 @@
-"""How fast a new version is live on N replicas, and what the origin sends for it.
+"""Measures how soon a new version is live on N replicas, and how much the origin sends.
 
-Real processes on loopback. The origin's rate is enforced by its stand-in, the rates of
-instances and of the links between regions by the sidecars' own pacing. Versions are small
-and rates low, so that the links and not the processors set the time; the processors' use
-is reported for that reason. Baselines in the same run: every instance from the origin, and
-one copy per region that goes down a chain.
+Runs real processes on loopback. The origin stand-in enforces the rate of the origin; the
+sidecars' own pacing enforces the rates of instances and of the links between regions.
+Versions are small and rates low, so that the links and not the processors set the time; the
+report includes CPU use as a check of this. Baselines in the same run: every instance fetches
+from the origin, and one copy per region is passed along a chain.
 
-The largest size by default is 64; 128 has not been measured yet.
+The default sizes are 8, 16, 32 and 64; larger ones, such as 128, need ROLLOUT_SIZES.
 ROLLOUT_FLOOR=8 sets the seconds that one copy needs on an instance's link.
-ROLLOUT_SIZES=16,64 measures only those sizes beside 8, and ROLLOUT_CHANGE=0 leaves out the
-changed version and the live requests, so that a machine that others use as well is not held
-for long.
+ROLLOUT_SIZES=16,64 measures only those sizes beside 8. ROLLOUT_CHANGE=0 skips the changed
+version and the live requests, for a short run on a shared machine.
 """
 
 import asyncio
@@ -32,26 +31,28 @@
 VERSION_BYTES = CHUNKS * CHUNK_BYTES
 FLOOR_SECONDS = 16.0
 QUICK_FLOOR_SECONDS = 4.0
-# In the time in which an instance's link carries two copies the origin's carries four.
+# Ratios of link rates: while an instance's link carries two copies, the origin's link
+# carries four.
 ORIGIN_TO_INSTANCE = 2.0
 THIN_TO_INSTANCE = 2.0
 THIN_FRACTION = 0.7
 LIMIT_SECONDS = 150.0
 STARTS_AT_ONCE = 16
 REQUESTS_PER_SECOND = 10.0
-# The first token of a prompt of 60 words then takes 0.2 s, a sixth of what the users allow.
+# With these options the first token after a prompt of 60 words takes 0.2 s, a sixth of the
+# limit that the users set.
 ENGINE_OPTIONS = ("--slots", "16", "--prefill-seconds-per-word", "0.0033")
 PLOT = pathlib.Path(__file__).resolve().parent.parent / "docs" / "plots" / "rollout.png"
 
 
 class Run(msgspec.Struct):
-    """What one rollout measured.
+    """The measurements of one rollout.
 
     Attributes:
-      seconds: From the publication until the last replica is live.
-      floor: What the slowest link on the path needs for one copy.
-      thin_copies: The most copies that entered or left any region over its thin link.
-      cores: Processors that the whole fleet used meanwhile, stand-ins included.
+      seconds: Seconds from the publication until the last replica is live.
+      floor: Seconds that the slowest link on the path needs for one copy.
+      thin_copies: Copies over the thin link of the region with the most, in or out.
+      cores: Cores that the whole fleet used during the rollout, stand-ins included.
     """
 
     replicas: int
@@ -68,7 +69,7 @@
 
 
 class RolloutFleet:
-    """N sidecars with engines in three regions, and the links' rates."""
+    """N sidecars with engines in three regions, with paced links."""
 
     def __init__(self, cluster: Cluster, replicas: int, way: str, floor: float) -> None:
         self.cluster = cluster
@@ -80,14 +81,14 @@
 
     @property
     def floor(self) -> float:
-        """The seconds that the slowest link on the path needs, at the rates that weights get."""
+        """Seconds that the slowest link on the path needs for a copy, at the rate for weights."""
         megabits = VERSION_BYTES * 8 / 1e6
         thin = self.instance_mbit * THIN_TO_INSTANCE * THIN_FRACTION
         rates = (self.instance_mbit, thin, self.instance_mbit * ORIGIN_TO_INSTANCE)
         return megabits / min(rates)
 
     async def start(self) -> None:
-        """Starts everything, a few processes at a time."""
+        """Starts all processes, STARTS_AT_ONCE sidecars at a time."""
         origin_mbit = self.instance_mbit * ORIGIN_TO_INSTANCE
         await self.cluster.start_platform("--origin-mbit", str(origin_mbit))
         turns = asyncio.Semaphore(STARTS_AT_ONCE)
@@ -106,12 +107,12 @@
         await self.cluster.publish_instances()
 
     async def make(self, version: str, **wanted: object) -> None:
-        """Has the origin hold a version."""
+        """Creates a version at the origin."""
         sizes = {"total_bytes": VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self.roots[version] = await self.cluster.make_version(**(sizes | wanted))
 
     async def want(self, version: str) -> None:
-        """Publishes that a version is wanted."""
+        """Publishes a configuration that wants a version in force."""
         base = make_base(self.roots, version, self.regions, {}, VERSION_BYTES)
         base["links"] = {
             "between_regions_mbit": self.instance_mbit * THIN_TO_INSTANCE,
@@ -120,7 +121,7 @@
         await self.cluster.publish(base)
 
     async def wait_live(self, version: str, names: list[str]) -> float:
-        """Waits until a version is in force on some engines; returns the seconds."""
+        """Waits until a version is active on the named engines; returns the seconds."""
         left = set(names)
 
         async def all_live() -> bool:
@@ -134,11 +135,11 @@
         return await self.cluster.wait_until(all_live, LIMIT_SECONDS, f"{version} live")
 
     async def origin_copies(self) -> float:
-        """Returns how many copies the origin has sent so far."""
+        """Returns the number of copies that the origin has sent so far."""
         return (await self.cluster.counters())["origin_weight_bytes"] / VERSION_BYTES
 
     async def weights(self, names: list[str]) -> dict[str, dict[str, object]]:
-        """Returns what the sidecars say of their transfers."""
+        """Returns the transfer counters of the named sidecars."""
         ports = {name: self.cluster.members[name].http_port for name in names}
         return {
             name: await self.cluster.get_json(port, "/internal/weights")
@@ -146,7 +147,7 @@
         }
 
     def thin_copies(self, weights: dict[str, dict[str, object]]) -> float:
-        """Returns the most copies that entered or left any region."""
+        """Returns the largest number of copies that entered or left a region."""
         most = 0
         for region in REGIONS:
             members = [name for name in weights if self.regions[name] == region]
@@ -155,7 +156,7 @@
         return most / VERSION_BYTES
 
     def processor_seconds(self) -> tuple[float, float]:
-        """Returns the processor time of the sidecars, and of all processes."""
+        """Returns the CPU time of the sidecars, and of sidecars, engines and platform together."""
         members = list(self.cluster.members.values())
         sidecars = sum(m.daemon.processor_seconds() for m in members if m.daemon.alive)
         rest = [m.endpoint for m in members if m.endpoint and m.endpoint.alive]
@@ -164,7 +165,7 @@
 
 
 async def measure_ask_bytes(fleet: RolloutFleet) -> int:
-    """Returns the bytes on the wire of one ask that is answered without a chunk."""
+    """Returns the bytes on the wire of a chunk request that is answered without a chunk."""
     member = next(iter(fleet.cluster.members.values()))
     reader, writer = await asyncio.open_connection("127.0.0.1", member.http_port)
     request = (
@@ -180,7 +181,7 @@
 
 
 async def roll_out(fleet: RolloutFleet, version: str, kill: int = 0) -> Run:
-    """Publishes a version, waits until it is live, and returns the figures."""
+    """Publishes a version, waits until it is live, and returns the measurements."""
     names = list(fleet.regions)
     copies = await fleet.origin_copies()
     sidecars, whole = fleet.processor_seconds()
@@ -223,7 +224,7 @@
 
 
 async def measure(replicas: int, way: str, floor: float, kill: int = 0) -> Run:
-    """Runs one rollout in a cluster of its own."""
+    """Measures one rollout in a new cluster."""
     async with Cluster() as cluster:
         fleet = RolloutFleet(cluster, replicas, way, floor)
         await fleet.start()
@@ -235,7 +236,7 @@
 
 
 async def measure_change(replicas: int, floor: float) -> dict[str, float]:
-    """Measures a version with a tenth of its chunks changed, under live requests."""
+    """Measures a version with a tenth of its chunks changed, then a new one under requests."""
     async with Cluster() as cluster:
         fleet = RolloutFleet(cluster, replicas, "peers", floor)
         await fleet.start()
@@ -265,7 +266,7 @@
 
 
 async def measure_first_tokens(cluster: Cluster, port: int, seconds: float) -> list[float | None]:
-    """Sends requests at a steady rate; returns the times to the first token, None for a loss."""
+    """Sends requests at a steady rate; returns times to first token, None for a lost request."""
     loop = asyncio.get_running_loop()
     running = []
     ends = loop.time() + seconds
@@ -276,8 +277,8 @@
 
 
 async def first_token(cluster: Cluster, port: int, number: int) -> float | None:
-    """Returns the seconds to the first token of one answer, or None where it was not whole."""
-    # No two prompts alike, or the engines' prefix caches would answer for them.
+    """Returns the seconds to the first token of one answer, or None if it is not whole."""
+    # Each prompt is unique, so that the engines' prefix caches do not shorten the prefill.
     prompt = f"{secrets.token_hex(4)} {number} " * 30
     body = {"model": "summaries", "prompt": prompt, "max_tokens": 10}
     arrived: list[float] = []
@@ -301,13 +302,13 @@
 
 
 def percentile_95(times: list[float | None]) -> float:
-    """Returns the 95th percentile of the answers that came, in seconds."""
+    """Returns the 95th percentile in seconds, lost requests left out."""
     came = sorted(seconds for seconds in times if seconds is not None)
     return came[int(len(came) * 0.95)] if came else float("inf")
 
 
 def draw_plot(runs: list[Run]) -> None:
-    """Draws time and origin copies by the number of replicas."""
+    """Draws time to live and origin copies over the number of replicas."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -328,7 +329,7 @@
 
 
 def make_aims(runs: list[Run], killed: Run, change: dict[str, float]) -> list[Aim]:
-    """Returns the aims that this run can judge."""
+    """Returns the figures of this run beside their targets."""
     by_way = {way: [run for run in runs if run.way == way] for way in ("peers", "chain", "origin")}
     peers = {run.replicas: run for run in by_way["peers"]}
     origin = max((run.origin_copies for run in by_way["origin"]), default=None)
@@ -349,7 +350,7 @@
 
 
 def make_change_aims(change: dict[str, float]) -> list[Aim]:
-    """Returns the aims on a changed version and on live requests."""
+    """Returns the figures of a changed version and of live requests beside their targets."""
     aims = []
     changed = change["changed_origin_copies"]
     aims.append(Aim("origin_copies_tenth_changed", changed, "copies", 0.12, 1.0))
@@ -365,7 +366,7 @@
     usual = QUICK_FLOOR_SECONDS if quick else FLOOR_SECONDS
     floor = float(os.environ.get("ROLLOUT_FLOOR", usual))
     few, many = (10, 8) if quick else (20, 16)
-    # Small fleets leave the processors idle, so the ways are measured side by side there.
+    # Small fleets leave the processors idle, so their runs can be measured concurrently.
     ways = [measure(8, way, floor) for way in ("peers", "chain", "origin")]
     *runs, killed = await asyncio.gather(*ways, measure(few, "peers", floor, kill=few // 10))
     given = os.environ.get("ROLLOUT_SIZES", "8" if quick else "8,16,32,64")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -30,7 +30,7 @@
 
 
 class Soak:
-    """Plays one schedule against one fleet and judges what callers and endpoints saw."""
+    """Runs one schedule against a fleet; checks what callers and endpoints observed."""
 
     def __init__(self, cluster: Cluster, seed: int, rounds: int) -> None:
         self._cluster = cluster
@@ -48,7 +48,7 @@
         self.caller = Caller([], seed)
 
     async def start(self) -> None:
-        """Starts the fleet and waits until it answers."""
+        """Starts the fleet and waits until the first version is in force everywhere."""
         cluster = self._cluster
         await cluster.start_platform()
         started = [
@@ -70,9 +70,9 @@
         self._note_entry_ports()
 
     async def play(self) -> None:
-        """Plays every kind of failure in a random order, each round anew, under load.
+        """Runs all actions under load, in a new random order in each round.
 
-        Then it waits until the fleet has converged.
+        Then waits until the fleet has converged.
         """
         ended = asyncio.Event()
         load = asyncio.ensure_future(
@@ -107,7 +107,7 @@
         ]
 
     def judge(self) -> dict[str, object]:
-        """Returns the figures, those that must be zero by the promises among them."""
+        """Returns the figures, including those that the guarantees require to be zero."""
         runs: collections.Counter = collections.Counter()
         for journal in self._cluster.folder.glob("*.journal"):
             runs.update(journal.read_text().split())
@@ -133,7 +133,7 @@
         }
 
     def _engine_options(self, name: str) -> tuple[str, ...]:
-        # Every other engine ignores old fencing numbers, so that both kinds are met.
+        # Every other engine ignores orders with old fencing tokens, so that both kinds are covered.
         return ("--fencing",) if int(name[-1]) % 2 else ()
 
     def _note_entry_ports(self) -> None:
@@ -144,7 +144,7 @@
 
     def _base(self) -> dict[str, object]:
         base = make_base(self._roots, self._version, self._engines, self._services, VERSION_BYTES)
-        # The marker makes each revision differ, as a change of a limit would.
+        # The marker is a limit that changes, so that revisions differ.
         base["limits"] = {"largest_deadline_seconds": 600.0 + self._marker}
         return base
 
@@ -227,7 +227,7 @@
     async def _replace_sidecar_gracefully(self) -> None:
         member = self._choose_sidecar()
         member.daemon.send(signal.SIGTERM)
-        # The list goes on saying that the instance is live, as a lagging list does.
+        # The instance list still shows the instance as live, as a list that lags behind would.
         await member.daemon.wait(LEAVING_LIST_LAG_SECONDS * 5)
         await self._start_again(member, with_endpoint=False)
 
@@ -284,7 +284,7 @@
 
 
 def broken_promises(figures: dict[str, object]) -> list[str]:
-    """Returns the names of the figures that break a promise."""
+    """Returns the names of the figures that violate a guarantee."""
     broken = [name for name in MUST_BE_ZERO if figures[name]]
     if figures["requests"] < SMALLEST_LOAD_TO_JUDGE or not figures["whole"]:
         broken.append("whole")
@@ -292,7 +292,7 @@
 
 
 async def play_soak(seed: int, rounds: int) -> tuple[dict[str, object], list[str]]:
-    """Plays one schedule; returns its figures and what an examiner needs to know of it."""
+    """Runs one schedule; returns its figures, and notes for the analysis of a failure."""
     async with Cluster() as cluster:
         soak = Soak(cluster, seed, rounds)
         await soak.start()
@@ -301,7 +301,7 @@
 
 
 def main() -> int:
-    """Plays one schedule and prints its figures; exit status 1 where a promise broke."""
+    """Runs one schedule and prints its figures; returns 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--rounds", type=int, default=4, help="each plays every failure once")
--- a/bench/weights_floor.py
+++ b/bench/weights_floor.py
@@ -3,7 +3,8 @@
     python3 -m bench.weights_floor --chunks 64 --chunk-bytes 32768 \
         --origin 9.9 --thin 10.5 --instance 3.8
 
-Rates are in megabits a second. What an engine takes to end its runs and to load is not counted.
+Rates are in megabits a second. The time that an engine needs to finish its requests and to load
+the weights is not included.
 """
 
 import argparse
@@ -18,9 +19,9 @@
     """The rates of a deployment's links, in megabits a second.
 
     Attributes:
-      origin: Of the origin.
-      thin: Between two regions.
-      instance: Of the instance beside an engine.
+      origin: The rate of the origin.
+      thin: The rate between two regions.
+      instance: The rate of an instance that runs an engine.
     """
 
     origin: float
@@ -29,15 +30,15 @@
 
 
 def seconds_over(size: float, mbit: float) -> float:
-    """Returns how long some bytes take over a link."""
+    """Returns the seconds that a number of bytes takes over a link."""
     return size * BITS / (mbit * 1_000_000.0)
 
 
 def floor_seconds(chunks: int, chunk_bytes: int, links: Links) -> float:
-    """Returns the seconds from a naming until the last instance of another region has it all.
+    """Returns the seconds until the last instance of another region has the whole version.
 
-    Chunks pass from link to link while others follow, so that the narrowest link carries the whole
-    and each other link delays it by one chunk.
+    Counts from the time at which the version is named. The transfer is pipelined by chunks: the
+    narrowest link carries the whole version, and each other link adds the time of one chunk.
     """
     rates = (links.origin, links.thin, links.instance)
     narrowest = min(rates)
@@ -47,7 +48,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the floor, and a measured time as a multiple of it."""
+    """Prints the floor, and each measured time as a multiple of it."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--chunks", type=int, required=True)
     parser.add_argument("--chunk-bytes", type=int, required=True)
--- a/bench/weights_floor_test.py
+++ b/bench/weights_floor_test.py
@@ -1,4 +1,4 @@
-"""Tests of the floor that links set to a version."""
+"""Tests of the minimum transfer time of a version over given links."""
 
 import unittest
 
