--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -162,7 +162,7 @@
 
 
 def find_in_force(text: str, mark: str) -> float | None:
-    """Returns when a daemon logged that a revision, or a later one, is in force."""
+    """Returns the time at which a daemon logged that a revision is in force, or None."""
     wanted = int(mark.split(":")[1])
     for line in reversed(text.splitlines()):
         if '"event":"revision_in_force"' in line:
--- a/bench/lost_requests.py
+++ b/bench/lost_requests.py
@@ -69,7 +69,7 @@
     )
 
 
-def cause_of(line: LogLine) -> str | None:
+def find_cause(line: LogLine) -> str | None:
     """Returns why a request was lost, SERVED if it was served, None for other lines."""
     fields = line.fields
     if line.event == DONE:
@@ -90,7 +90,7 @@
     """Returns the number of requests by cause, by the first second of the window."""
     rows: dict[int, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     for line in lines:
-        cause = cause_of(line)
+        cause = find_cause(line)
         if cause is not None:
             rows[int((line.at - began) // window * window)][cause] += 1
     return rows
@@ -98,7 +98,7 @@
 
 def find_beginning(lines: list[LogLine]) -> float:
     """Returns the time at which the first counted request ended."""
-    return min((line.at for line in lines if cause_of(line) is not None), default=0.0)
+    return min((line.at for line in lines if find_cause(line) is not None), default=0.0)
 
 
 def format_tables(lines: list[LogLine], window: float, first: float, last: float) -> list[str]:
--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -91,7 +91,7 @@
         return await self.start_entry(name, REGION, platform=platform, control="service")
 
     async def replace_sidecar(self, name: str) -> Member:
-        """Starts a new sidecar under a name, with a new engine if it had one; returns the old one."""
+        """Starts a new sidecar, and engine if it had one, under a name; returns the old one."""
         old = self.members[name]
         endpoint = (old.endpoint, old.endpoint_port) if old.kind == "service" else None
         proxies = [self.proxies[entry.name, name] for entry in self.entries]
@@ -139,7 +139,7 @@
             if name == endpoint and entry in ("", whose):
                 await self.put_link_faults(control, **faults)
 
-    async def spoil_for(self, seconds: float, endpoint: str, **faults: object) -> None:
+    async def inject_link_faults_for(self, seconds: float, endpoint: str, **faults: object) -> None:
         """Sets faults of the links to an endpoint for some time, then clears them."""
         await self.spoil(endpoint, **faults)
         await asyncio.sleep(seconds)
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -106,12 +106,12 @@
         await asyncio.gather(*(start_one(name) for name in self.regions))
         await self.cluster.publish_instances()
 
-    async def make(self, version: str, **wanted: object) -> None:
+    async def create_version(self, version: str, **wanted: object) -> None:
         """Creates a version at the origin."""
         sizes = {"total_bytes": VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self.roots[version] = await self.cluster.make_version(**(sizes | wanted))
 
-    async def want(self, version: str) -> None:
+    async def publish_version(self, version: str) -> None:
         """Publishes a configuration that wants a version in force."""
         base = make_base(self.roots, version, self.regions, {}, VERSION_BYTES)
         base["links"] = {
@@ -188,7 +188,7 @@
     ask_bytes = await measure_ask_bytes(fleet)
     loop = asyncio.get_running_loop()
     began = loop.time()
-    await fleet.want(version)
+    await fleet.publish_version(version)
     if kill:
         await asyncio.sleep(fleet.floor / 2)
         sidecars, whole = fleet.processor_seconds()
@@ -228,7 +228,7 @@
     async with Cluster() as cluster:
         fleet = RolloutFleet(cluster, replicas, way, floor)
         await fleet.start()
-        await fleet.make("v1", seed=1)
+        await fleet.create_version("v1", seed=1)
         await asyncio.sleep(1.5)
         run = await roll_out(fleet, "v1", kill)
         print(msgspec.json.encode(run).decode(), flush=True)
@@ -242,10 +242,10 @@
         await fleet.start()
         entry = await cluster.start_entry("entry-1", REGIONS[0])
         await cluster.publish_instances()
-        await fleet.make("v1", seed=1)
-        await fleet.make("v2", seed=2, base_seed=1, changed_fraction=0.1)
-        await fleet.make("v3", seed=3)
-        await fleet.want("v1")
+        await fleet.create_version("v1", seed=1)
+        await fleet.create_version("v2", seed=2, base_seed=1, changed_fraction=0.1)
+        await fleet.create_version("v3", seed=3)
+        await fleet.publish_version("v1")
         await fleet.wait_live("v1", list(fleet.regions))
         await asyncio.sleep(2.0)
         changed = await roll_out(fleet, "v2")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -133,7 +133,8 @@
         }
 
     def _engine_options(self, name: str) -> tuple[str, ...]:
-        # Every other engine ignores orders with old fencing tokens, so that both kinds are covered.
+        # Odd-numbered engines refuse orders with an old fencing token and the others accept them,
+        # so that both kinds are covered.
         return ("--fencing",) if int(name[-1]) % 2 else ()
 
     def _note_entry_ports(self) -> None:
