--- a/bench/load_callers.py
+++ b/bench/load_callers.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wanted:
+class LoadRequest:
     """One request to send."""
 
     workspace: str = "w0"
@@ -34,7 +34,7 @@
       became: One of whole, refused, failed and lost.
     """
 
-    wanted: Wanted
+    wanted: LoadRequest
     began: float
     first: float = 0.0
     total: float = 0.0
@@ -57,7 +57,7 @@
         """Sends requests at random times; returns once the last is answered.
 
         Args:
-          make: Returns a Wanted, given a random.Random.
+          make: Returns a LoadRequest, given a random.Random.
         """
         rng = random.Random(self._random.random())
         loop = asyncio.get_running_loop()
@@ -75,7 +75,7 @@
             tasks.append(asyncio.ensure_future(self.send(make(rng), port, start)))
         return list(await asyncio.gather(*tasks))
 
-    async def send(self, wanted: Wanted, port: int, start: float) -> LoadResult:
+    async def send(self, wanted: LoadRequest, port: int, start: float) -> LoadResult:
         """Sends one request and classifies its answer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -102,8 +102,8 @@
         self._client.close()
 
 
-def make_request(wanted: Wanted, port: int) -> httpclient.HTTPRequest:
-    """Returns the HTTP request for a Wanted."""
+def make_request(wanted: LoadRequest, port: int) -> httpclient.HTTPRequest:
+    """Returns the HTTP request for a LoadRequest."""
     path, body = "/services/tally/charge", {"mark": wanted.prompt, "amount": 5}
     if not wanted.charge:
         path = "/v1/completions"
--- a/bench/load_scenarios.py
+++ b/bench/load_scenarios.py
@@ -6,7 +6,7 @@
 
 from standins.prefix_cache import BLOCK_WORDS, prefix_blocks
 
-from .load_callers import LoadResult, Wanted, count, percentile, whole_latencies
+from .load_callers import LoadRequest, LoadResult, count, percentile, whole_latencies
 from .load_fleet import CAPACITY, DECODE_SECONDS, ENGINES, SLOTS, LoadFleet
 
 FIRST_TOKEN_SECONDS = 1.2
@@ -22,29 +22,29 @@
     return answer.became == "whole" and answer.first <= FIRST_TOKEN_SECONDS
 
 
-def any_workspace(rng: random.Random) -> Wanted:
+def any_workspace(rng: random.Random) -> LoadRequest:
     """A short request of any workspace."""
-    return Wanted(f"w{rng.randrange(10)}", f"shop {rng.randrange(10**9)}")
+    return LoadRequest(f"w{rng.randrange(10)}", f"shop {rng.randrange(10**9)}")
 
 
-def other_workspace(rng: random.Random) -> Wanted:
+def other_workspace(rng: random.Random) -> LoadRequest:
     """A short request of any workspace but w0."""
-    return Wanted(f"w{1 + rng.randrange(9)}", f"shop {rng.randrange(10**9)}")
+    return LoadRequest(f"w{1 + rng.randrange(9)}", f"shop {rng.randrange(10**9)}")
 
 
-def hot_workspace(rng: random.Random) -> Wanted:
+def hot_workspace(rng: random.Random) -> LoadRequest:
     """A short request of w0."""
-    return Wanted("w0", f"shop {rng.randrange(10**9)}")
+    return LoadRequest("w0", f"shop {rng.randrange(10**9)}")
 
 
-def long_job(rng: random.Random) -> Wanted:
+def long_job(rng: random.Random) -> LoadRequest:
     """A long request of w0."""
-    return Wanted("w0", f"speech {rng.randrange(10**9)}", LONG_TOKENS)
+    return LoadRequest("w0", f"speech {rng.randrange(10**9)}", LONG_TOKENS)
 
 
-def charge(rng: random.Random) -> Wanted:
+def charge(rng: random.Random) -> LoadRequest:
     """A charge of any workspace."""
-    return Wanted(f"w{rng.randrange(10)}", f"{rng.getrandbits(64):016x}", charge=True)
+    return LoadRequest(f"w{rng.randrange(10)}", f"{rng.getrandbits(64):016x}", charge=True)
 
 
 async def play_overload(
@@ -134,12 +134,12 @@
     weights = [1.0 / (rank + 1) ** 0.7 for rank in range(PREFIX_GROUPS)]
     sent: list[str] = []
 
-    def make(rng: random.Random) -> Wanted:
+    def make(rng: random.Random) -> LoadRequest:
         (group,) = rng.choices(range(PREFIX_GROUPS), weights)
         head = " ".join(f"g{salt}x{group}w{word}" for word in range(PREFIX_WORDS))
         tail = " ".join(f"u{rng.randrange(10**9)}" for _ in range(16))
         sent.append(f"{head} {tail}")
-        return Wanted(f"w{group % 10}", sent[-1])
+        return LoadRequest(f"w{group % 10}", sent[-1])
 
     before = await fleet.engine_counters()
     callers = fleet.callers(policy, 15)
--- a/tests/load_test.py
+++ b/tests/load_test.py
@@ -7,7 +7,7 @@
 from bench.caller import Caller
 from bench.cluster import Cluster, Member
 from bench.fleet_files import make_base
-from bench.load_callers import LoadCallers, Wanted
+from bench.load_callers import LoadCallers, LoadRequest
 
 REGION = "rift-a"
 ENGINE_OPTIONS = ("--slots", "2", "--decode-seconds", "0.02")
@@ -65,8 +65,8 @@
                     await asyncio.sleep(0.1)
                 return became
 
-            def make(rng) -> Wanted:
-                return Wanted("demo", f"shop {rng.randrange(10**9)}", 20)
+            def make(rng) -> LoadRequest:
+                return LoadRequest("demo", f"shop {rng.randrange(10**9)}", 20)
 
             # Two engines of two slots, 0.4 s a request: ten a second.
             answers, became = await asyncio.gather(callers.arrive(50.0, 5.0, make), charge_often())
