--- a/bench/outcomes_chaos.py
+++ b/bench/outcomes_chaos.py
@@ -64,9 +64,9 @@
         """Injects a fault into the links to one endpoint for a moment, from one or all entries."""
         name = self._random.choice(self._services + self._engines)
         entry = self._random.choice(["", *(entry.name for entry in self._fleet.entries)])
-        await self._fleet.spoil(name, entry, **self._random.choice(LINK_FAULTS))
+        await self._fleet.inject_link_faults(name, entry, **self._random.choice(LINK_FAULTS))
         await asyncio.sleep(self._random.uniform(0.2, 1.2))
-        await self._fleet.spoil(name)
+        await self._fleet.inject_link_faults(name)
 
     async def restart_service(self) -> None:
         """Kills a service process and starts it again on the same port."""
--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -133,7 +133,7 @@
         body = json.dumps({"as_of": 0.0, "instances": instances}).encode()
         await self._put("/control/instances", body, self.platforms[entry])
 
-    async def spoil(self, endpoint: str, entry: str = "", **faults: object) -> None:
+    async def inject_link_faults(self, endpoint: str, entry: str = "", **faults: object) -> None:
         """Sets the faults of the links to an endpoint, from one entry or from all."""
         for (whose, name), control in self.links.items():
             if name == endpoint and entry in ("", whose):
@@ -141,9 +141,9 @@
 
     async def inject_link_faults_for(self, seconds: float, endpoint: str, **faults: object) -> None:
         """Sets faults of the links to an endpoint for some time, then clears them."""
-        await self.spoil(endpoint, **faults)
+        await self.inject_link_faults(endpoint, **faults)
         await asyncio.sleep(seconds)
-        await self.spoil(endpoint)
+        await self.inject_link_faults(endpoint)
 
     async def issue_key(self, entry: int = 0, bearer: str = CALLER_KEY) -> str:
         """Requests an idempotency key; returns a random UUID if the fleet issues none."""
--- a/tests/outcomes_links_test.py
+++ b/tests/outcomes_links_test.py
@@ -16,7 +16,7 @@
     async def spoil_all(self, **faults: object) -> None:
         """Sets the same faults on the links to both sidecars."""
         for name in ("tally-1", "tally-2"):
-            await self.fleet.spoil(name, **faults)
+            await self.fleet.inject_link_faults(name, **faults)
 
     async def test_lost_answer_is_asked_for_again(self) -> None:
         """Every connection to the sidecars is cut after the charge ran, for a moment.
@@ -55,9 +55,9 @@
         key = await self.fleet.issue_key()
         became, told = await self.fleet.charge("split", key=key)
         self.assertEqual(became, "whole")
-        await self.fleet.spoil(told["by"], "entry-2", refuse=True)
+        await self.fleet.inject_link_faults(told["by"], "entry-2", refuse=True)
         apart, _ = await self.fleet.charge("split", entry=1, key=key)
-        await self.fleet.spoil(told["by"], "entry-2")
+        await self.fleet.inject_link_faults(told["by"], "entry-2")
         await self.fleet.list_for("entry-2", left_out=(told["by"],))
         await asyncio.sleep(1.5)
         unlisted, _ = await self.fleet.charge("split", entry=1, key=key)
--- a/tests/outcomes_stalls_test.py
+++ b/tests/outcomes_stalls_test.py
@@ -26,9 +26,9 @@
         work = asyncio.ensure_future(caller.generate("stalled", 100))
         running = await self.fleet.find_running(ENGINES)
         await asyncio.sleep(0.3)
-        await self.fleet.spoil(running, stall=True)
+        await self.fleet.inject_link_faults(running, stall=True)
         self.assertEqual(await work, "whole", caller.problems)
-        await self.fleet.spoil(running)
+        await self.fleet.inject_link_faults(running)
 
     async def test_cancelled_caller_frees_its_slot(self) -> None:
         """A caller goes away in the middle of a long answer.
--- a/tests/outcomes_streams_test.py
+++ b/tests/outcomes_streams_test.py
@@ -24,7 +24,7 @@
     async def spoil_all(self, **faults: object) -> None:
         """Sets the same faults on the links to both sidecars."""
         for name in ENGINES:
-            await self.fleet.spoil(name, **faults)
+            await self.fleet.inject_link_faults(name, **faults)
 
     async def test_cut_at_every_boundary(self) -> None:
         """The link to an endpoint is cut within the head, a token, between two, or at the end.
