--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -47,7 +47,7 @@
         for entry in self.entries:
             for name in (*services, *engines):
                 await self.add_link(entry.name, name)
-            await self.list_for(entry.name)
+            await self.publish_list_for(entry.name)
         await self.publish_instances()
         self.root = await self.make_version(total_bytes=65_536, chunk_bytes=65_536)
         self.places = (dict.fromkeys(engines, REGION), dict.fromkeys(services, REGION))
@@ -98,7 +98,7 @@
         await self.start_sidecar(name, REGION, old.kind, (), endpoint)
         await asyncio.gather(*(self.add_link(entry.name, name) for entry in self.entries))
         for entry in self.entries:
-            await self.list_for(entry.name)
+            await self.publish_list_for(entry.name)
         asyncio.get_running_loop().call_later(
             OLD_LINK_SECONDS, lambda: [proxy.send(signal.SIGKILL) for proxy in proxies]
         )
@@ -111,7 +111,7 @@
         self.link_ports[entry, endpoint] = port
         self.links[entry, endpoint] = control
 
-    async def list_for(self, entry: str, left_out: tuple[str, ...] = ()) -> None:
+    async def publish_list_for(self, entry: str, left_out: tuple[str, ...] = ()) -> None:
         """Publishes the instance list of one entry, without the endpoints left out."""
         instances = []
         for (whose, name), port in self.link_ports.items():
--- a/tests/outcomes_charges_test.py
+++ b/tests/outcomes_charges_test.py
@@ -110,7 +110,7 @@
         late_entry = await self.fleet.add_entry("entry-3")
         for name in ("tally-1", "tally-2"):
             await self.fleet.add_link(late_entry.name, name)
-        await self.fleet.list_for(late_entry.name)
+        await self.fleet.publish_list_for(late_entry.name)
 
         async def knows_the_owner() -> bool:
             _, told = await self.fleet.charge("probe", entry=2, key=probe, milliseconds=300)
@@ -144,7 +144,7 @@
             for entry in self.fleet.entries:
                 await self.fleet.add_link(entry.name, member.name)
         for entry in self.fleet.entries:
-            await self.fleet.list_for(entry.name)
+            await self.fleet.publish_list_for(entry.name)
         await self.fleet.wait_until(self._has_service, 10.0, "the replacements")
         again, told = await self.fleet.charge("woken", entry=1, key=key)
         self.assertIn((again, self.fleet.runs("woken")), [("unknown", 0)], told)
