--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -194,7 +194,7 @@
             raise_error=False,
         )
 
-    async def find_running(self, engines: tuple[str, ...]) -> str:
+    async def wait_for_running_engine(self, engines: tuple[str, ...]) -> str:
         """Waits until one of the engines is generating, and returns its name."""
         found = []
 
--- a/tests/outcomes_leaving_test.py
+++ b/tests/outcomes_leaving_test.py
@@ -54,7 +54,7 @@
         await self.fleet.start_all([], ["worker-1", "worker-2"], drain_seconds=60.0)
         caller = self.fleet.caller()
         long = asyncio.ensure_future(caller.generate("long", 1200))
-        running = await self.fleet.find_running(("worker-1", "worker-2"))
+        running = await self.fleet.wait_for_running_engine(("worker-1", "worker-2"))
         leaving = self.fleet.members[running].daemon
         leaving.send(signal.SIGTERM)
         short = [await caller.generate(f"short {i}", 3) for i in range(30)]
--- a/tests/outcomes_stalls_test.py
+++ b/tests/outcomes_stalls_test.py
@@ -24,7 +24,7 @@
         """
         caller = self.fleet.caller()
         work = asyncio.ensure_future(caller.generate("stalled", 100))
-        running = await self.fleet.find_running(ENGINES)
+        running = await self.fleet.wait_for_running_engine(ENGINES)
         await asyncio.sleep(0.3)
         await self.fleet.inject_link_faults(running, stall=True)
         self.assertEqual(await work, "whole", caller.problems)
@@ -45,7 +45,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(head.encode() + content)
         await reader.readuntil(b"data: ")
-        running = await self.fleet.find_running(ENGINES)
+        running = await self.fleet.wait_for_running_engine(ENGINES)
         writer.close()
         endpoint = self.fleet.members[running].endpoint_port
 
--- a/tests/outcomes_streams_test.py
+++ b/tests/outcomes_streams_test.py
@@ -57,7 +57,7 @@
         """
         caller = self.fleet.caller()
         first = asyncio.ensure_future(caller.generate("speech", 150))
-        running = await self.fleet.find_running(ENGINES)
+        running = await self.fleet.wait_for_running_engine(ENGINES)
         await asyncio.sleep(0.5)
         await self.fleet.members[running].endpoint.kill()
         self.assertEqual(await first, "whole", caller.problems)
@@ -74,7 +74,7 @@
         """
         caller = self.fleet.caller()
         work = asyncio.ensure_future(caller.generate("long", 1200))
-        running = await self.fleet.find_running(ENGINES)
+        running = await self.fleet.wait_for_running_engine(ENGINES)
         root = await self.fleet.make_version(total_bytes=65_536, chunk_bytes=65_536, seed=2)
         roots = {"v1": self.fleet.root, "v2": root}
         await self.fleet.publish(self.fleet.make_files("v2", roots))
