--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -208,7 +208,7 @@
         await self.wait_until(runs, 10.0, "a running stream")
         return found[0]
 
-    def runs(self, mark: str) -> int:
+    def count_runs(self, mark: str) -> int:
         """Returns how many times a charge ran, from the journals of the services."""
         journals = pathlib.Path(self.folder).glob("*.journal")
         return sum(journal.read_text().split().count(mark) for journal in journals)
--- a/tests/outcomes_charges_test.py
+++ b/tests/outcomes_charges_test.py
@@ -28,7 +28,7 @@
         """
         await self.faults(crash_before="before")
         became, told = await self.fleet.charge("before")
-        self.assertEqual((became, self.fleet.runs("before")), ("unknown", 0), told)
+        self.assertEqual((became, self.fleet.count_runs("before")), ("unknown", 0), told)
         await self.fleet.wait_until(self._has_service, 10.0, "a service that answers")
         key = await self.fleet.issue_key()
         for name in ("tally-1", "tally-2"):
@@ -37,9 +37,9 @@
                 await self.fleet.put_faults(port, crash_after="after")
         became, told = await self.fleet.charge("after", key=key)
         again, _ = await self.fleet.charge("after", entry=1, key=key)
-        self.assertLessEqual(self.fleet.runs("after"), 1)
-        self.assertNotIn(("not_run", 1), [(became, self.fleet.runs("after"))], told)
-        self.assertNotEqual((again, self.fleet.runs("after")), ("not_run", 1))
+        self.assertLessEqual(self.fleet.count_runs("after"), 1)
+        self.assertNotIn(("not_run", 1), [(became, self.fleet.count_runs("after"))], told)
+        self.assertNotEqual((again, self.fleet.count_runs("after")), ("not_run", 1))
 
     async def _has_service(self) -> bool:
         return (await self.fleet.charge("probe"))[0] == "whole"
@@ -53,7 +53,7 @@
         await self.fleet.members["tally-1"].endpoint.kill()
         for number in range(6):
             became, told = await self.fleet.charge(f"m{number}")
-            runs = self.fleet.runs(f"m{number}")
+            runs = self.fleet.count_runs(f"m{number}")
             self.assertIn((became, runs), [("whole", 1), ("not_run", 0)], told)
             self.assertEqual(became, "whole", told)
 
@@ -71,7 +71,7 @@
         await asyncio.gather(first, return_exceptions=True)
         became, told = await self.fleet.charge("resent", entry=1, key=key)
         later, kept = await self.fleet.charge("resent", entry=1, key=key)
-        self.assertEqual(self.fleet.runs("resent"), 1)
+        self.assertEqual(self.fleet.count_runs("resent"), 1)
         self.assertEqual((became, later), ("whole", "whole"), (told, kept))
         self.assertEqual((told["replayed"], kept["replayed"]), (True, True))
         self.assertEqual((told["run"], told["by"]), (kept["run"], kept["by"]))
@@ -90,11 +90,11 @@
         for name in ("tally-1", "tally-2"):
             self.fleet.members[name].daemon.send(signal.SIGCONT)
         await asyncio.sleep(0.5)
-        self.assertEqual(self.fleet.runs("late"), 0)
+        self.assertEqual(self.fleet.count_runs("late"), 0)
         again, told = await self.fleet.charge("late", entry=1, key=key)
-        self.assertEqual((again, self.fleet.runs("late")), ("not_run", 0), told)
+        self.assertEqual((again, self.fleet.count_runs("late")), ("not_run", 0), told)
         fresh, _ = await self.fleet.charge("late", entry=1, key=told["idempotency_key"])
-        self.assertEqual((fresh, self.fleet.runs("late")), ("whole", 1))
+        self.assertEqual((fresh, self.fleet.count_runs("late")), ("whole", 1))
 
     async def test_an_entry_that_never_heard_the_sidecar_tells_it_the_deadline_too(self) -> None:
         """Sidecars are paused; an entry that has just started, and has not heard them yet, gets
@@ -122,9 +122,11 @@
         for name in ("tally-1", "tally-2"):
             self.fleet.members[name].daemon.send(signal.SIGCONT)
         await asyncio.sleep(0.5)
-        self.assertEqual(self.fleet.runs("unheard"), 0)
+        self.assertEqual(self.fleet.count_runs("unheard"), 0)
         again, told = await self.fleet.charge("unheard", entry=2, key=key)
-        self.assertIn((again, self.fleet.runs("unheard")), [("whole", 1), ("not_run", 0)], told)
+        self.assertIn(
+            (again, self.fleet.count_runs("unheard")), [("whole", 1), ("not_run", 0)], told
+        )
 
     async def test_owner_replaced_and_the_old_one_wakes(self) -> None:
         """The sidecar with a charge in hand is paused and replaced; the caller resends; then
@@ -147,11 +149,11 @@
             await self.fleet.publish_list_for(entry.name)
         await self.fleet.wait_until(self._has_service, 10.0, "the replacements")
         again, told = await self.fleet.charge("woken", entry=1, key=key)
-        self.assertIn((again, self.fleet.runs("woken")), [("unknown", 0)], told)
+        self.assertIn((again, self.fleet.count_runs("woken")), [("unknown", 0)], told)
         for member in old:
             member.daemon.send(signal.SIGCONT)
         became, _ = await first
-        self.assertIn((became, self.fleet.runs("woken")), [("whole", 1), ("unknown", 1)])
+        self.assertIn((became, self.fleet.count_runs("woken")), [("whole", 1), ("unknown", 1)])
 
     async def test_keys_belong_to_workspaces_and_bodies(self) -> None:
         """Another workspace shows a key that it saw, or a caller reuses its key by mistake.
@@ -168,7 +170,7 @@
         made_up, told = await self.fleet.charge("own", key="my-own-key-1")
         self.assertEqual((made_up, told["code"]), ("not_run", "key_not_issued"))
         handed, _ = await self.fleet.charge("own", key=told["idempotency_key"])
-        self.assertEqual((handed, self.fleet.runs("own")), ("whole", 1))
+        self.assertEqual((handed, self.fleet.count_runs("own")), ("whole", 1))
 
 
 if __name__ == "__main__":
--- a/tests/outcomes_leaving_test.py
+++ b/tests/outcomes_leaving_test.py
@@ -32,7 +32,7 @@
         answers = [await task for task in work]
         others = [answer for answer in answers if answer[0] != "whole"]
         self.assertEqual(others, [])
-        self.assertEqual([self.fleet.runs(f"m{i}") for i in range(24)], [1] * 24)
+        self.assertEqual([self.fleet.count_runs(f"m{i}") for i in range(24)], [1] * 24)
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_a_key_issued_just_before_its_instance_leaves_is_good(self) -> None:
@@ -43,7 +43,7 @@
         leaving.send(signal.SIGTERM)
         await asyncio.sleep(0.3)
         became, told = await self.fleet.charge("kept", key=key)
-        self.assertEqual((became, self.fleet.runs("kept")), ("whole", 1), told)
+        self.assertEqual((became, self.fleet.count_runs("kept")), ("whole", 1), told)
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_engine_sidecar_leaves_under_long_streams(self) -> None:
@@ -88,7 +88,9 @@
         self.assertEqual(await stream, "whole", caller.problems)
         self.assertEqual(await leaving.wait(15.0), 0)
         again, kept = await self.fleet.charge("kept", entry=1, key=key)
-        self.assertEqual((again, kept["replayed"], self.fleet.runs("kept")), ("whole", True, 1))
+        self.assertEqual(
+            (again, kept["replayed"], self.fleet.count_runs("kept")), ("whole", True, 1)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/outcomes_links_test.py
+++ b/tests/outcomes_links_test.py
@@ -33,7 +33,7 @@
         await asyncio.sleep(0.2)
         await self.spoil_all()
         became = [(await task)[0] for task in work]
-        self.assertEqual([self.fleet.runs(f"lost-{i}") for i in range(4)], [1] * 4)
+        self.assertEqual([self.fleet.count_runs(f"lost-{i}") for i in range(4)], [1] * 4)
         self.assertEqual(became, ["whole"] * 4)
 
     async def test_duplicate_on_the_network_runs_once(self) -> None:
@@ -45,7 +45,7 @@
         became = [(await self.fleet.charge(f"twice-{i}"))[0] for i in range(3)]
         await asyncio.sleep(1.0)
         self.assertEqual(became, ["whole"] * 3)
-        self.assertEqual([self.fleet.runs(f"twice-{i}") for i in range(3)], [1] * 3)
+        self.assertEqual([self.fleet.count_runs(f"twice-{i}") for i in range(3)], [1] * 3)
 
     async def test_two_lists_and_a_partition(self) -> None:
         """One entry's list lacks the owner of a key, or a partition keeps it from the owner.
@@ -61,12 +61,14 @@
         await self.fleet.publish_list_for("entry-2", left_out=(told["by"],))
         await asyncio.sleep(1.5)
         unlisted, _ = await self.fleet.charge("split", entry=1, key=key)
-        self.assertEqual((apart, unlisted, self.fleet.runs("split")), ("unknown", "unknown", 1))
+        self.assertEqual(
+            (apart, unlisted, self.fleet.count_runs("split")), ("unknown", "unknown", 1)
+        )
         await self.fleet.publish_list_for("entry-2")
         await asyncio.sleep(1.5)
         healed, kept = await self.fleet.charge("split", entry=1, key=key)
         self.assertEqual((healed, kept["replayed"]), ("whole", True))
-        self.assertEqual(self.fleet.runs("split"), 1)
+        self.assertEqual(self.fleet.count_runs("split"), 1)
 
     async def test_corrupted_links_pass_no_wrong_answer(self) -> None:
         """A link flips a byte in every fortieth, in requests' answers of any kind.
@@ -77,7 +79,7 @@
             await self.spoil_all(corrupt_every_bytes=every)
             mark = f"flip-{every}"
             became, told = await self.fleet.charge(mark, milliseconds=2500)
-            runs = self.fleet.runs(mark)
+            runs = self.fleet.count_runs(mark)
             true = [("whole", 1), ("not_run", 0), ("unknown", 0), ("unknown", 1)]
             self.assertIn((became, runs), true, told)
 
