--- a/bench/outcomes_chaos.py
+++ b/bench/outcomes_chaos.py
@@ -49,7 +49,7 @@
 
     def _all_actions(self) -> list:
         return [
-            *[self.inject_link_faults] * 6,
+            *[self.degrade_link] * 6,
             *[self.restart_service] * 2,
             self.kill_sidecar,
             self.pause_sidecar,
@@ -60,7 +60,7 @@
             self.stop_entry,
         ]
 
-    async def inject_link_faults(self) -> None:
+    async def degrade_link(self) -> None:
         """Injects a fault into the links to one endpoint for a moment, from one or all entries."""
         name = self._random.choice(self._services + self._engines)
         entry = self._random.choice(["", *(entry.name for entry in self._fleet.entries)])
