--- a/bench/demo.py
+++ b/bench/demo.py
@@ -39,7 +39,7 @@
 STOP_SECONDS = 20.0
 
 
-def say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Prints one line of progress."""
     print(text, flush=True)
 
@@ -56,13 +56,13 @@
         self._engines = {f"assistant-{i + 1}": REGIONS[i % 3] for i in range(6)}
         self._services = {"ticketing-1": REGIONS[0], "ticketing-2": REGIONS[1]}
         self._roots: dict[str, str] = {}
-        self._left = list(self._engines)
+        self._remaining = list(self._engines)
         self._highest: dict[str, int] = {}
         self._reverted = 0
-        self._looks = 0
+        self._status_reads = 0
         self._seconds = 0.0
         self._origin_bytes = 0
-        self._cut = 0
+        self._cut_requests = 0
         self._caller = Caller([], seed=7)
         self._load_ended = asyncio.Event()
         self.missed: list[str] = []
@@ -99,7 +99,7 @@
         ports = [cluster.members[f"entry-{i + 1}"].caller_port for i in range(2)]
         self._caller.entry_ports = ports
         endpoints = len(self._engines) + len(self._services)
-        say(f"started {len(cluster.members)} daemons and {endpoints} endpoints")
+        print_progress(f"started {len(cluster.members)} daemons and {endpoints} endpoints")
 
     async def roll_out_first(self) -> None:
         """Rolls out a small version, so that the engines can answer requests."""
@@ -107,7 +107,7 @@
         self._roots["v1"] = await self._cluster.make_version(**wanted)
         await self._cluster.publish(self.base("v1"))
         seconds = await self.wait(lambda: self.is_live("v1"), IN_FORCE_SECONDS, "v1 live")
-        say(f"v1 in force on {len(self._left)} engines after {seconds:.1f} s")
+        print_progress(f"v1 in force on {len(self._remaining)} engines after {seconds:.1f} s")
         await self.wait(self.answers, CHANGE_SECONDS, "the first whole answer")
 
     async def change_in_flight(self) -> None:
@@ -121,70 +121,74 @@
         before = (await cluster.counters())["origin_weight_bytes"]
         began = time.monotonic()
         await cluster.publish(self.base("v2"))
-        say("v2 of 64 MiB wanted, under live load")
+        print_progress("v2 of 64 MiB wanted, under live load")
         await asyncio.sleep(1.0)
         await cluster.publish(self.base("v3"))
-        say("v3, with a tenth of its chunks changed, wanted while v2 is in flight")
+        print_progress("v3, with a tenth of its chunks changed, wanted while v2 is in flight")
         await asyncio.sleep(0.5)
-        killed = cluster.members[self._left.pop()]
+        killed = cluster.members[self._remaining.pop()]
         await killed.daemon.kill()
         await killed.endpoint.kill()
-        say(f"{killed.name} killed")
+        print_progress(f"{killed.name} killed")
         await self.wait(lambda: self.is_live("v3"), IN_FORCE_SECONDS, "v3 live")
         self._seconds = time.monotonic() - began
         self._origin_bytes = (await cluster.counters())["origin_weight_bytes"] - before
-        say(f"v3 in force on {len(self._left)} engines after {self._seconds:.1f} s")
+        print_progress(f"v3 in force on {len(self._remaining)} engines after {self._seconds:.1f} s")
 
     async def change_overlay(self) -> None:
         """Changes one site's overlay and waits until every daemon has it in force."""
         overlays = {REGIONS[0]: {"workspaces": {"printers": None}}}
         revision = await self._cluster.publish(self.base("v3"), overlays)
         seconds = await self.wait(
-            lambda: self.all_say("revision", revision), CHANGE_SECONDS, "overlay"
+            lambda: self.all_report("revision", revision), CHANGE_SECONDS, "overlay"
         )
-        say(f"an overlay's change in force at every daemon after {seconds:.2f} s")
+        print_progress(f"an overlay's change in force at every daemon after {seconds:.2f} s")
 
     async def publish_faults(self) -> None:
         """Publishes an invalid revision, which every daemon has to refuse."""
         faulty = self.base("v9") | {"modles": {}}
         revision = await self._cluster.publish(faulty)
         seconds = await self.wait(
-            lambda: self.all_say("refused_revision", revision), CHANGE_SECONDS, "refusal"
+            lambda: self.all_report("refused_revision", revision), CHANGE_SECONDS, "refusal"
+        )
+        print_progress(
+            f"a faulty revision refused by every daemon after {seconds:.2f} s; status says:"
         )
-        say(f"a faulty revision refused by every daemon after {seconds:.2f} s; status says:")
         await self.show_status()
 
     async def stop_gracefully(self) -> None:
         """Stops one sidecar under load, which must not interrupt any request."""
         before = self.count_broken()
-        stopped = self._cluster.members[self._left[0]]
+        stopped = self._cluster.members[self._remaining[0]]
         began = time.monotonic()
         stopped.daemon.send(signal.SIGTERM)
         code = await stopped.daemon.wait(STOP_SECONDS)
         if code != 0:
             self.missed.append(f"the graceful stop of {stopped.name} (exit {code})")
         await asyncio.sleep(1.0)
-        self._cut = self.count_broken() - before
-        say(f"{stopped.name} stopped gracefully in {time.monotonic() - began:.1f} s under load")
+        self._cut_requests = self.count_broken() - before
+        print_progress(
+            f"{stopped.name} stopped gracefully in {time.monotonic() - began:.1f} s under load"
+        )
 
     async def judge(self) -> dict[str, object]:
         """Returns the figures, from the endpoints' own counters where these exist."""
         for problem in self._caller.problems[:10]:
-            say(f"problem: {problem}")
+            print_progress(f"problem: {problem}")
         for name in self.missed:
-            say(f"not in time: {name}")
-        ports = [self._cluster.members[name].endpoint_port for name in self._left]
+            print_progress(f"not in time: {name}")
+        ports = [self._cluster.members[name].endpoint_port for name in self._remaining]
         engines = [await self._cluster.counters(port) for port in ports]
         figures = demo_figures.count_requests(self._caller, engines, self._cluster.folder)
         return {
             "replicas_live": sum(engine["active"] == "v3" for engine in engines),
-            "replicas_wanted": len(self._left),
+            "replicas_wanted": len(self._remaining),
             "seconds": round(self._seconds, 2),
             "origin_copies": round(self._origin_bytes / VERSION_BYTES, 3),
             **figures,
             "reverted": self._reverted,
-            "cut_by_planned_stop": self._cut,
-            "missed": len(self.missed) + (not self._looks),
+            "cut_by_planned_stop": self._cut_requests,
+            "missed": len(self.missed) + (not self._status_reads),
         }
 
     def base(self, version: str) -> dict[str, object]:
@@ -203,7 +207,7 @@
 
     async def is_live(self, version: str) -> bool:
         """Returns whether every remaining engine reports a version as active."""
-        for name in self._left:
+        for name in self._remaining:
             counters = await self._cluster.counters(self._cluster.members[name].endpoint_port)
             if counters["active"] != version:
                 return False
@@ -216,7 +220,7 @@
                 return False
         return True
 
-    async def all_say(self, field: str, value: object) -> bool:
+    async def all_report(self, field: str, value: object) -> bool:
         """Returns whether the status of every running daemon has a value in a field."""
         alive = [name for name, member in self._cluster.members.items() if member.daemon.alive]
         return all([(await self._cluster.status(name))[field] == value for name in alive])
@@ -231,7 +235,7 @@
                     revision = (await self._cluster.status(name))["revision"]
                 except (OSError, httpclient.HTTPError):
                     continue
-                self._looks += 1
+                self._status_reads += 1
                 self._reverted += revision < self._highest.get(name, 0)
                 self._highest[name] = max(self._highest.get(name, 0), revision)
             await asyncio.sleep(0.2)
@@ -258,7 +262,7 @@
         figures = await Demo(cluster).run()
     broken = demo_figures.find_broken(figures)
     if broken:
-        say(f"broken: {', '.join(broken)}")
+        print_progress(f"broken: {', '.join(broken)}")
     print(json.dumps(figures), flush=True)
     return 1 if broken else 0
 
--- a/bench/expected_cost.py
+++ b/bench/expected_cost.py
@@ -53,8 +53,10 @@
             )
         }
         for part in (0.5, 0.9):
-            rival = DecayingPercentile(part, HALF_LIFE_SAMPLES)
-            found[name][f"p{int(part * 100)}"] = mean_error(costs, rival.learn, rival.estimate)
+            percentile_rule = DecayingPercentile(part, HALF_LIFE_SAMPLES)
+            found[name][f"p{int(part * 100)}"] = mean_error(
+                costs, percentile_rule.learn, percentile_rule.estimate
+            )
         print(name, {rule: round(error, 3) for rule, error in found[name].items()})
     rules = ("average", "p50", "p90")
     means = {rule: sum(row[rule] for row in found.values()) / len(found) for rule in rules}
--- a/bench/load.py
+++ b/bench/load.py
@@ -21,7 +21,7 @@
 LATE_SECONDS = 1.0
 
 
-def say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Prints one line of progress."""
     print(text, flush=True)
 
@@ -46,14 +46,14 @@
         if is_quick():
             skipped += ("slow", "long", "hot", "overload_1", "overload_2", "prefix")
         found["costs"] = {OURS: await load_costs.measure_chunks(fleet)}
-        say(f"costs: {brief(found['costs'][OURS])}")
+        print_progress(f"costs: {format_figures(found['costs'][OURS])}")
         # The baselines come last: they leave engines with long queues and limits reduced.
         for policy in (OURS, BASELINE):
             for name, play in plays.items():
                 if policy == OURS or name not in skipped:
                     await fleet.settle()
                     found.setdefault(name, {})[policy] = await play(policy)
-                    say(f"{name} {policy}: {brief(found[name][policy])}")
+                    print_progress(f"{name} {policy}: {format_figures(found[name][policy])}")
     return found
 
 
@@ -65,11 +65,11 @@
             fleet = LoadFleet(cluster, load_lag_seconds=LATE_SECONDS)
             await fleet.start({policy: MANY_ENTRIES})
             found[policy] = await load_scenarios.play_late(fleet, policy, seconds)
-            say(f"late {policy}: {brief(found[policy])}")
+            print_progress(f"late {policy}: {format_figures(found[policy])}")
     return found
 
 
-def brief(figures: dict[str, object]) -> str:
+def format_figures(figures: dict[str, object]) -> str:
     """Returns figures on one line."""
     plain = {name: value for name, value in figures.items() if not isinstance(value, list)}
     return ", ".join(f"{name} {value:.4g}" for name, value in plain.items())
@@ -178,11 +178,11 @@
             fleet = LoadFleet(cluster)
             await fleet.start({OURS: 1})
             found["costs"] = {OURS: await load_costs.measure_chunks(fleet)}
-            say(f"costs: {brief(found['costs'][OURS])}")
+            print_progress(f"costs: {format_figures(found['costs'][OURS])}")
     if "main" in parts:
         found = await measure_main(2.0 if is_quick() else 4.0)
         found["decide"] = await load_costs.measure_decisions()
-        say(f"decide, microseconds: {brief(found['decide'])}")
+        print_progress(f"decide, microseconds: {format_figures(found['decide'])}")
     if "late" in parts:
         policies = [OURS, "random", "round_robin", "least_reported"]
         found["late"] = await measure_late(policies, 10.0)
--- a/bench/load_callers.py
+++ b/bench/load_callers.py
@@ -94,7 +94,7 @@
             received.total = loop.time() - began
             return received
         received.total = loop.time() - began
-        judge(received, response, b"".join(chunks))
+        classify(received, response, b"".join(chunks))
         return received
 
     def close(self) -> None:
@@ -121,7 +121,7 @@
     )
 
 
-def judge(received: LoadResult, response: httpclient.HTTPResponse, body: bytes) -> None:
+def classify(received: LoadResult, response: httpclient.HTTPResponse, body: bytes) -> None:
     """Sets whether the answer is whole, refused or failed; without an answer it stays lost."""
     if response.code == 200:
         is_whole = received.wanted.charge or body.rstrip().endswith(b"data: [DONE]")
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -35,7 +35,7 @@
 ANSWER = b'{"mark": "0123456789abcdef", "by": "tally-1", "run": 1}'
 
 
-def say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Prints one line of progress."""
     print(text, flush=True)
 
@@ -125,7 +125,7 @@
     ends = [await daemon.wait(20.0) for daemon in stopped]
     loading.cancel()
     await loading
-    charges = [record.told[0] for record in caller.charges.values()]
+    charges = [record.outcomes[0] for record in caller.charges.values()]
     cut = [became for became in ended if became not in ("whole", "refused")]
     return {
         "streams": len(ended),
@@ -185,13 +185,13 @@
     """Runs all phases and prints the report; returns 1 if a guarantee was violated."""
     async with OutcomesFleet() as fleet:
         await fleet.start_all(SERVICES, ENGINES, ENTRIES)
-        say("fleet started")
+        print_progress("fleet started")
         latency = await measure_latency(fleet)
-        say(f"median ms: {latency}")
+        print_progress(f"median ms: {latency}")
         stops = await play_planned_stops(fleet, seed)
-        say(f"planned stops: {stops}")
+        print_progress(f"planned stops: {stops}")
         soak = await play_soak(fleet, seed)
-        say(f"soak: {soak}")
+        print_progress(f"soak: {soak}")
     aims = make_aims(soak, stops, latency, measure_memory())
     print_report("outcomes", aims, {"soak": soak, "stops": stops, "latency_ms": latency})
     broken = soak["double_runs"] or soak["false_not_run"] or soak["wrong"] or soak["partial"]
--- a/bench/outcomes_caller.py
+++ b/bench/outcomes_caller.py
@@ -22,7 +22,7 @@
     """A charge: how it was sent, and the outcome, code and key of each attempt."""
 
     kind: str
-    told: list[str] = dataclasses.field(default_factory=list)
+    outcomes: list[str] = dataclasses.field(default_factory=list)
     codes: list[str] = dataclasses.field(default_factory=list)
     keys: list[str] = dataclasses.field(default_factory=list)
 
@@ -70,7 +70,7 @@
             if key:
                 record.keys.append(key)
             became, told = await self._send(mark, kind, key)
-            record.told.append(became)
+            record.outcomes.append(became)
             record.codes.append(told.get("code", ""))
             if became == "not_run" and kind == "keyed":
                 key = told.get("idempotency_key") or await self._issue()
@@ -105,26 +105,30 @@
         runs: collections.Counter = collections.Counter()
         for journal in self._fleet.folder.glob("*.journal"):
             runs.update(journal.read_text().split())
-        charges = {m: r for m, r in self.charges.items() if r.kind != "quote" and r.told}
+        charges = {m: r for m, r in self.charges.items() if r.kind != "quote" and r.outcomes}
         quotes = [m for m, r in self.charges.items() if r.kind == "quote"]
         false_not_run = [
-            mark for mark, record in charges.items() if record.told[-1] == "not_run" and runs[mark]
+            mark
+            for mark, record in charges.items()
+            if record.outcomes[-1] == "not_run" and runs[mark]
         ]
-        firsts = collections.Counter(record.told[0] for record in charges.values())
-        lasts = collections.Counter(record.told[-1] for record in charges.values())
+        firsts = collections.Counter(record.outcomes[0] for record in charges.values())
+        lasts = collections.Counter(record.outcomes[-1] for record in charges.values())
         counts = self.checker.counts
         return {
             "calls": len(self.charges) + counts["requests"],
             "charges": len(charges),
             "double_runs": [mark for mark in charges if runs[mark] > 1],
             "false_not_run": false_not_run,
-            "lost_runs": [m for m, r in charges.items() if r.told[-1] == "whole" and not runs[m]],
+            "lost_runs": [
+                m for m, r in charges.items() if r.outcomes[-1] == "whole" and not runs[m]
+            ],
             "wrong": firsts["wrong"] + lasts["wrong"] + counts["wrong"] + counts["mixed"],
             "partial": [p for p in self.checker.problems if p.startswith("lost")],
             "first_told": dict(firsts),
             "last_told": dict(lasts),
             "unknown_codes": collections.Counter(
-                record.codes[-1] for record in charges.values() if record.told[-1] == "unknown"
+                record.codes[-1] for record in charges.values() if record.outcomes[-1] == "unknown"
             ),
             "naive_quotes": len(quotes),
             "naive_double_runs": sum(runs[mark] > 1 for mark in quotes),
--- a/bench/outcomes_fleet.py
+++ b/bench/outcomes_fleet.py
@@ -14,7 +14,7 @@
 from .process import Process
 
 REGION = "rift-a"
-PATIENT_MILLISECONDS = 8000
+LONG_DEADLINE_MILLISECONDS = 8000
 OLD_LINK_SECONDS = 10.0
 START_SECONDS = 60.0
 LIST_LAG_SECONDS = 0.7
@@ -157,7 +157,7 @@
         mark: str,
         entry: int = 0,
         key: str = "",
-        milliseconds: int = PATIENT_MILLISECONDS,
+        milliseconds: int = LONG_DEADLINE_MILLISECONDS,
         bearer: str = CALLER_KEY,
         path: str = "charge",
     ) -> tuple[str, dict]:
@@ -179,7 +179,7 @@
         body: dict,
         bearer: str = CALLER_KEY,
         key: str = "",
-        milliseconds: int = PATIENT_MILLISECONDS,
+        milliseconds: int = LONG_DEADLINE_MILLISECONDS,
     ) -> httpclient.HTTPResponse:
         """Posts JSON to an entry as a caller."""
         given = {"Authorization": f"Bearer {bearer}", "Content-Type": "application/json"}
--- a/bench/proof_page.py
+++ b/bench/proof_page.py
@@ -46,8 +46,8 @@
     promise: str
     failures: tuple[str, ...]
     test: str
-    rest: tuple[str, ...]
-    place: str
+    last_cells: tuple[str, ...]
+    location: str
 
 
 def read_rows() -> tuple[list[ProofRow], list[str]]:
@@ -74,12 +74,12 @@
     """Returns the errors in one row."""
     faults = []
     if row.promise not in PROMISES:
-        faults.append(f"{row.place}: no promise is called {row.promise!r}")
+        faults.append(f"{row.location}: no promise is called {row.promise!r}")
     for name in row.failures:
         if name not in FAILURES:
-            faults.append(f"{row.place}: no failure is called {name!r}")
+            faults.append(f"{row.location}: no failure is called {name!r}")
     if not test_exists(row.test):
-        faults.append(f"{row.place}: there is no test {row.test}")
+        faults.append(f"{row.location}: there is no test {row.test}")
     return faults
 
 
@@ -119,7 +119,7 @@
         lines.append(f"| {promise}: {meaning} | " + " | ".join(cells) + " |")
     lines += ["", "## Tests", "", HEADING, "|---" * COLUMNS + "|"]
     for row in sorted(rows, key=lambda row: (list(PROMISES).index(row.promise), row.test)):
-        cells = (row.promise, ", ".join(row.failures), f"`{row.test}`", *row.rest)
+        cells = (row.promise, ", ".join(row.failures), f"`{row.test}`", *row.last_cells)
         lines.append("| " + " | ".join(cells) + " |")
     lines += ["", "## Not proved", ""]
     for promise, failure in missing:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -43,7 +43,7 @@
         self._marker = 0
         self._highest: dict[int, int] = {}
         self._bad_activations: dict[int, int] = {}
-        self.going_back: list[str] = []
+        self.reverted_revisions: list[str] = []
         self.played: list[str] = []
         self.caller = Caller([], seed)
 
@@ -67,7 +67,7 @@
         await self._publish_new_version()
         await cluster.wait_until(self._converged, CONVERGE_SECONDS, "the first version")
         await asyncio.sleep(2.0)
-        self._note_entry_ports()
+        self._update_entry_ports()
 
     async def play(self) -> None:
         """Runs all actions under load, in a new random order in each round.
@@ -127,7 +127,7 @@
             "double_runs": sum(1 for count in runs.values() if count > 1),
             "false_not_run": sum(1 for m, what in charges.items() if what == "refused" and runs[m]),
             "false_done": sum(1 for m, what in charges.items() if what == "whole" and not runs[m]),
-            "reverted": len(self.going_back),
+            "reverted": len(self.reverted_revisions),
             "bad_activations": sum(self._bad_activations.values()),
             "codes": dict(self.caller.codes),
         }
@@ -137,7 +137,7 @@
         # so that both kinds are covered.
         return ("--fencing",) if int(name[-1]) % 2 else ()
 
-    def _note_entry_ports(self) -> None:
+    def _update_entry_ports(self) -> None:
         members = self._cluster.members.values()
         self.caller.entry_ports[:] = [
             m.caller_port for m in members if m.role == "entry" and m.state == "live"
@@ -180,7 +180,7 @@
 
     async def _spoil_link(self) -> None:
         control_port = self._choose_sidecar().proxy_control_port
-        spoilt = self._random.choice(
+        link_faults = self._random.choice(
             (
                 {"stall": True},
                 {"refuse": True},
@@ -189,8 +189,8 @@
                 {"repeat_requests": True, "repeat_delay_seconds": 0.3},
             )
         )
-        self.played.append(f"link: {next(iter(spoilt))}")
-        await self._cluster.put_link_faults(control_port, **spoilt)
+        self.played.append(f"link: {next(iter(link_faults))}")
+        await self._cluster.put_link_faults(control_port, **link_faults)
         await asyncio.sleep(self._random.uniform(0.5, 2.0))
         await self._cluster.put_link_faults(control_port)
 
@@ -199,7 +199,7 @@
         names = [n for n, m in members.items() if m.role == "sidecar" and m.state == "live"]
         return members[self._random.choice(sorted(names))]
 
-    async def _start_again(self, gone: Member, with_endpoint: bool) -> None:
+    async def _restart_sidecar(self, gone: Member, with_endpoint: bool) -> None:
         endpoint = None if with_endpoint else (gone.endpoint, gone.endpoint_port)
         options = self._engine_options(gone.name) if gone.kind == "engine" else ()
         member = await self._cluster.start_sidecar(
@@ -215,7 +215,7 @@
         if with_endpoint:
             await member.endpoint.kill()
         await asyncio.sleep(self._random.uniform(0.1, 1.0))
-        await self._start_again(member, with_endpoint)
+        await self._restart_sidecar(member, with_endpoint)
 
     async def _stop_and_wake_sidecar(self) -> None:
         member = self._choose_sidecar()
@@ -230,20 +230,20 @@
         member.daemon.send(signal.SIGTERM)
         # The instance list still shows the instance as live, as a list that lags behind would.
         await member.daemon.wait(LEAVING_LIST_LAG_SECONDS * 5)
-        await self._start_again(member, with_endpoint=False)
+        await self._restart_sidecar(member, with_endpoint=False)
 
     async def _replace_entry_gracefully(self) -> None:
         members = self._cluster.members
         name = self._random.choice(("entry-1", "entry-2"))
         old = members[name]
         old.state = "leaving"
-        self._note_entry_ports()
+        self._update_entry_ports()
         await asyncio.sleep(0.3)
         old.daemon.send(signal.SIGTERM)
         await self._cluster.start_entry(name, old.region)
         await self._cluster.publish_instances()
         await asyncio.sleep(2.0)
-        self._note_entry_ports()
+        self._update_entry_ports()
 
     async def _watch(self) -> None:
         while True:
@@ -252,19 +252,19 @@
                     continue
                 try:
                     async with asyncio.timeout(0.5):
-                        await self._look_at(member)
+                        await self._check_member(member)
                 except (OSError, TimeoutError):
                     continue
             await asyncio.sleep(0.2)
 
-    async def _look_at(self, member: Member) -> None:
+    async def _check_member(self, member: Member) -> None:
         if member.kind == "engine" and member.endpoint.alive:
             counters = await self._cluster.counters(member.endpoint_port)
             self._bad_activations[member.endpoint_port] = counters["bad_activations"]
         status = await self._cluster.get_json(member.http_port, "/internal/status")
         highest = self._highest.get(member.http_port, 0)
         if status["revision"] < highest:
-            self.going_back.append(f"{member.name}: {highest} to {status['revision']}")
+            self.reverted_revisions.append(f"{member.name}: {highest} to {status['revision']}")
         self._highest[member.http_port] = max(highest, status["revision"])
 
     async def _converged(self) -> bool:
@@ -298,7 +298,7 @@
         soak = Soak(cluster, seed, rounds)
         await soak.start()
         await soak.play()
-        return soak.judge(), soak.played + soak.caller.problems[:20] + soak.going_back
+        return soak.judge(), soak.played + soak.caller.problems[:20] + soak.reverted_revisions
 
 
 def main() -> int:
