--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,10 +1,10 @@
-"""The demo: real bytes along the whole path, while things change and fail.
+"""The demo: a fleet of real processes that keeps its guarantees under changes and failures.
 
 Starts stand-ins and daemons on loopback: two entries and six model endpoints in three
 regions, and two endpoints of a billing service. Rolls out a version of 64 MiB under live
 load, changes the wanted version once while it is in flight, kills an instance, changes an
 overlay, publishes a faulty revision, and stops an instance gracefully. The last line is one
-JSON object; the exit status is 1 where it breaks a promise.
+JSON object; the exit status is 1 if it shows that a guarantee was violated.
 """
 
 import asyncio
@@ -39,8 +39,8 @@
 STOP_SECONDS = 20.0
 
 
-def say(text: str) -> None:
-    """Prints one line of what happens."""
+def print_progress(text: str) -> None:
+    """Prints one line of progress."""
     print(text, flush=True)
 
 
@@ -48,7 +48,7 @@
     """One run of the demo.
 
     Attributes:
-      missed: What did not happen in time.
+      missed: The steps that did not complete in time.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -56,19 +56,19 @@
         self._engines = {f"assistant-{i + 1}": REGIONS[i % 3] for i in range(6)}
         self._services = {"ticketing-1": REGIONS[0], "ticketing-2": REGIONS[1]}
         self._roots: dict[str, str] = {}
-        self._left = list(self._engines)
+        self._remaining = list(self._engines)
         self._highest: dict[str, int] = {}
         self._reverted = 0
-        self._looks = 0
+        self._status_reads = 0
         self._seconds = 0.0
         self._origin_bytes = 0
-        self._cut = 0
+        self._cut_requests = 0
         self._caller = Caller([], seed=7)
         self._load_ended = asyncio.Event()
         self.missed: list[str] = []
 
     async def run(self) -> dict[str, object]:
-        """Plays every step and returns the figures."""
+        """Runs all steps and returns the figures."""
         await self.start_fleet()
         await self.roll_out_first()
         load = asyncio.ensure_future(
@@ -99,19 +99,19 @@
         ports = [cluster.members[f"entry-{i + 1}"].caller_port for i in range(2)]
         self._caller.entry_ports = ports
         endpoints = len(self._engines) + len(self._services)
-        say(f"started {len(cluster.members)} daemons and {endpoints} endpoints")
+        print_progress(f"started {len(cluster.members)} daemons and {endpoints} endpoints")
 
     async def roll_out_first(self) -> None:
-        """Brings a small version everywhere, so that there is something to answer with."""
+        """Rolls out a small version, so that the engines can answer requests."""
         wanted = {"total_bytes": FIRST_VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self._roots["v1"] = await self._cluster.make_version(**wanted)
         await self._cluster.publish(self.base("v1"))
         seconds = await self.wait(lambda: self.is_live("v1"), IN_FORCE_SECONDS, "v1 live")
-        say(f"v1 in force on {len(self._left)} engines after {seconds:.1f} s")
+        print_progress(f"v1 in force on {len(self._remaining)} engines after {seconds:.1f} s")
         await self.wait(self.answers, CHANGE_SECONDS, "the first whole answer")
 
     async def change_in_flight(self) -> None:
-        """Rolls out a large version, another one while it is in flight, and kills an instance."""
+        """Starts a large rollout, replaces it while it is in flight, and kills an instance."""
         cluster = self._cluster
         wanted = {"total_bytes": VERSION_BYTES, "chunk_bytes": CHUNK_BYTES}
         self._roots["v2"] = await cluster.make_version(seed=2, **wanted)
@@ -121,80 +121,84 @@
         before = (await cluster.counters())["origin_weight_bytes"]
         began = time.monotonic()
         await cluster.publish(self.base("v2"))
-        say("v2 of 64 MiB wanted, under live load")
+        print_progress("v2 of 64 MiB wanted, under live load")
         await asyncio.sleep(1.0)
         await cluster.publish(self.base("v3"))
-        say("v3, with a tenth of its chunks changed, wanted while v2 is in flight")
+        print_progress("v3, with a tenth of its chunks changed, wanted while v2 is in flight")
         await asyncio.sleep(0.5)
-        killed = cluster.members[self._left.pop()]
+        killed = cluster.members[self._remaining.pop()]
         await killed.daemon.kill()
         await killed.endpoint.kill()
-        say(f"{killed.name} killed")
+        print_progress(f"{killed.name} killed")
         await self.wait(lambda: self.is_live("v3"), IN_FORCE_SECONDS, "v3 live")
         self._seconds = time.monotonic() - began
         self._origin_bytes = (await cluster.counters())["origin_weight_bytes"] - before
-        say(f"v3 in force on {len(self._left)} engines after {self._seconds:.1f} s")
+        print_progress(f"v3 in force on {len(self._remaining)} engines after {self._seconds:.1f} s")
 
     async def change_overlay(self) -> None:
         """Changes one site's overlay and waits until every daemon has it in force."""
         overlays = {REGIONS[0]: {"workspaces": {"printers": None}}}
         revision = await self._cluster.publish(self.base("v3"), overlays)
         seconds = await self.wait(
-            lambda: self.all_say("revision", revision), CHANGE_SECONDS, "overlay"
+            lambda: self.all_report("revision", revision), CHANGE_SECONDS, "overlay"
         )
-        say(f"an overlay's change in force at every daemon after {seconds:.2f} s")
+        print_progress(f"an overlay's change in force at every daemon after {seconds:.2f} s")
 
     async def publish_faults(self) -> None:
-        """Publishes a revision with faults, which is to be in force nowhere."""
+        """Publishes an invalid revision, which every daemon has to refuse."""
         faulty = self.base("v9") | {"modles": {}}
         revision = await self._cluster.publish(faulty)
         seconds = await self.wait(
-            lambda: self.all_say("refused_revision", revision), CHANGE_SECONDS, "refusal"
+            lambda: self.all_report("refused_revision", revision), CHANGE_SECONDS, "refusal"
+        )
+        print_progress(
+            f"a faulty revision refused by every daemon after {seconds:.2f} s; status says:"
         )
-        say(f"a faulty revision refused by every daemon after {seconds:.2f} s; status says:")
         await self.show_status()
 
     async def stop_gracefully(self) -> None:
-        """Stops one sidecar under load, which is to cut off no request."""
+        """Stops one sidecar under load, which must not interrupt any request."""
         before = self.count_broken()
-        stopped = self._cluster.members[self._left[0]]
+        stopped = self._cluster.members[self._remaining[0]]
         began = time.monotonic()
         stopped.daemon.send(signal.SIGTERM)
         code = await stopped.daemon.wait(STOP_SECONDS)
         if code != 0:
             self.missed.append(f"the graceful stop of {stopped.name} (exit {code})")
         await asyncio.sleep(1.0)
-        self._cut = self.count_broken() - before
-        say(f"{stopped.name} stopped gracefully in {time.monotonic() - began:.1f} s under load")
+        self._cut_requests = self.count_broken() - before
+        print_progress(
+            f"{stopped.name} stopped gracefully in {time.monotonic() - began:.1f} s under load"
+        )
 
     async def judge(self) -> dict[str, object]:
-        """Returns the figures, counted at the endpoints where that is possible."""
+        """Returns the figures, from the endpoints' own counters where these exist."""
         for problem in self._caller.problems[:10]:
-            say(f"problem: {problem}")
+            print_progress(f"problem: {problem}")
         for name in self.missed:
-            say(f"not in time: {name}")
-        ports = [self._cluster.members[name].endpoint_port for name in self._left]
+            print_progress(f"not in time: {name}")
+        ports = [self._cluster.members[name].endpoint_port for name in self._remaining]
         engines = [await self._cluster.counters(port) for port in ports]
         figures = demo_figures.count_requests(self._caller, engines, self._cluster.folder)
         return {
             "replicas_live": sum(engine["active"] == "v3" for engine in engines),
-            "replicas_wanted": len(self._left),
+            "replicas_wanted": len(self._remaining),
             "seconds": round(self._seconds, 2),
             "origin_copies": round(self._origin_bytes / VERSION_BYTES, 3),
             **figures,
             "reverted": self._reverted,
-            "cut_by_planned_stop": self._cut,
-            "missed": len(self.missed) + (not self._looks),
+            "cut_by_planned_stop": self._cut_requests,
+            "missed": len(self.missed) + (not self._status_reads),
         }
 
     def base(self, version: str) -> dict[str, object]:
-        """Returns the base file's tree with a version wanted."""
+        """Returns the tree of a base file that wants a version in force."""
         base = make_base(self._roots, version, self._engines, self._services, VERSION_BYTES)
-        # The link between regions is scaled up with the origin's, so that the demo is short.
+        # The links between regions are as fast as the origin's, which keeps the demo short.
         return base | {"links": {"between_regions_mbit": BETWEEN_REGIONS_MBIT}}
 
     async def wait(self, check, seconds: float, what: str) -> float:
-        """Waits for something; what does not happen in time is noted, and the demo goes on."""
+        """Waits for a condition; on a time-out adds it to `missed` and continues the demo."""
         try:
             return await self._cluster.wait_until(check, seconds, what)
         except TimeoutError:
@@ -202,27 +206,27 @@
             return seconds
 
     async def is_live(self, version: str) -> bool:
-        """Returns whether every engine left answers with a version, asked of the engines."""
-        for name in self._left:
+        """Returns whether every remaining engine reports a version as active."""
+        for name in self._remaining:
             counters = await self._cluster.counters(self._cluster.members[name].endpoint_port)
             if counters["active"] != version:
                 return False
         return True
 
     async def answers(self) -> bool:
-        """Returns whether each entry answers a request whole."""
+        """Returns whether each entry gives a whole answer to a request."""
         for port in self._caller.entry_ports:
             if await Caller([port], seed=1).generate("hello", 3) != "whole":
                 return False
         return True
 
-    async def all_say(self, field: str, value: object) -> bool:
-        """Returns whether every living daemon's status has a value."""
+    async def all_report(self, field: str, value: object) -> bool:
+        """Returns whether the status of every running daemon has a value in a field."""
         alive = [name for name, member in self._cluster.members.items() if member.daemon.alive]
         return all([(await self._cluster.status(name))[field] == value for name in alive])
 
     async def watch_revisions(self) -> None:
-        """Counts each time that a daemon's revision goes down."""
+        """Counts how often a daemon reports a lower revision than before."""
         while True:
             for name, member in list(self._cluster.members.items()):
                 if not member.daemon.alive:
@@ -231,13 +235,13 @@
                     revision = (await self._cluster.status(name))["revision"]
                 except (OSError, httpclient.HTTPError):
                     continue
-                self._looks += 1
+                self._status_reads += 1
                 self._reverted += revision < self._highest.get(name, 0)
                 self._highest[name] = max(self._highest.get(name, 0), revision)
             await asyncio.sleep(0.2)
 
     async def show_status(self) -> None:
-        """Prints what `wasabidrum status` would."""
+        """Prints the output of `wasabidrum status`."""
         url = f"http://127.0.0.1:{self._cluster.platform_port}/instances"
         client = FleetClient(url)
         try:
@@ -248,17 +252,17 @@
             self.missed.append(f"status: {error}")
 
     def count_broken(self) -> int:
-        """Returns how many requests did not get their answer, refused ones left out."""
+        """Returns the number of requests without an answer; refused ones are not counted."""
         return sum(self._caller.counts[name] for name in ("failed", "unknown", "lost"))
 
 
 async def play() -> int:
-    """Runs the demo in a cluster of its own."""
+    """Runs the demo in a new cluster; returns the exit status."""
     async with Cluster() as cluster:
         figures = await Demo(cluster).run()
     broken = demo_figures.find_broken(figures)
     if broken:
-        say(f"broken: {', '.join(broken)}")
+        print_progress(f"broken: {', '.join(broken)}")
     print(json.dumps(figures), flush=True)
     return 1 if broken else 0
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""Measures the decisions under load with real processes, against plain baselines.
+"""Measures admission and placement under load with real processes, against simple baselines.
 
-Open-loop arrivals with fixed seeds; every answer is judged at its caller. Writes latency
-figures to out/ and, in its long form, the plot docs/plots/load.png. Parts may be named on the
-command line: main, late, costs.
+Arrivals are open-loop with fixed seeds, and each caller classifies its own answer. Writes
+latency figures to out/ and, in its long form, the plot docs/plots/load.png. The command line
+may name the parts to run: main, late, costs.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 LATE_SECONDS = 1.0
 
 
-def say(text: str) -> None:
-    """Prints one line of what happens."""
+def print_progress(text: str) -> None:
+    """Prints one line of progress."""
     print(text, flush=True)
 
 
 async def measure_main(seconds: float) -> dict[str, dict]:
-    """Plays everything but the late reports; returns figures by scenario and policy."""
+    """Runs all scenarios but the late load reports; returns figures by scenario and policy."""
     found: dict[str, dict] = {}
     async with Cluster() as cluster:
         fleet = LoadFleet(cluster)
@@ -46,30 +46,30 @@
         if is_quick():
             skipped += ("slow", "long", "hot", "overload_1", "overload_2", "prefix")
         found["costs"] = {OURS: await load_costs.measure_chunks(fleet)}
-        say(f"costs: {brief(found['costs'][OURS])}")
-        # The baselines come last: they leave engines flooded and limits cut.
+        print_progress(f"costs: {format_figures(found['costs'][OURS])}")
+        # The baselines come last: they leave engines with long queues and limits reduced.
         for policy in (OURS, BASELINE):
             for name, play in plays.items():
                 if policy == OURS or name not in skipped:
                     await fleet.settle()
                     found.setdefault(name, {})[policy] = await play(policy)
-                    say(f"{name} {policy}: {brief(found[name][policy])}")
+                    print_progress(f"{name} {policy}: {format_figures(found[name][policy])}")
     return found
 
 
 async def measure_late(policies: list[str], seconds: float) -> dict[str, dict]:
-    """Twenty entries whose reports are a second late, policy after policy."""
+    """Measures twenty entries whose load reports are a second late, one policy at a time."""
     found = {}
     for policy in policies:
         async with Cluster() as cluster:
             fleet = LoadFleet(cluster, load_lag_seconds=LATE_SECONDS)
             await fleet.start({policy: MANY_ENTRIES})
             found[policy] = await load_scenarios.play_late(fleet, policy, seconds)
-            say(f"late {policy}: {brief(found[policy])}")
+            print_progress(f"late {policy}: {format_figures(found[policy])}")
     return found
 
 
-def brief(figures: dict[str, object]) -> str:
+def format_figures(figures: dict[str, object]) -> str:
     """Returns figures on one line."""
     plain = {name: value for name, value in figures.items() if not isinstance(value, list)}
     return ", ".join(f"{name} {value:.4g}" for name, value in plain.items())
@@ -81,14 +81,14 @@
 
 
 def make_late_aims(late: dict[str, dict]) -> list[Aim]:
-    """Returns the aim of many entries with late reports."""
+    """Returns the target for many entries with late load reports."""
     busiest = round(late[OURS]["busiest"], 3)
     base = round(late["least_reported"]["busiest"], 3)
     return [Aim("busiest_with_late_reports", busiest, "of the mean", 1.3, base)]
 
 
 def make_aims(found: dict[str, dict]) -> list[Aim]:
-    """Returns the aims of the users' measures with what was measured."""
+    """Returns the measured figures beside the targets that the users set."""
 
     def figure(scenario: str, name: str, policy: str = OURS) -> float | None:
         return found.get(scenario, {}).get(policy, {}).get(name)
@@ -178,11 +178,11 @@
             fleet = LoadFleet(cluster)
             await fleet.start({OURS: 1})
             found["costs"] = {OURS: await load_costs.measure_chunks(fleet)}
-            say(f"costs: {brief(found['costs'][OURS])}")
+            print_progress(f"costs: {format_figures(found['costs'][OURS])}")
     if "main" in parts:
         found = await measure_main(2.0 if is_quick() else 4.0)
         found["decide"] = await load_costs.measure_decisions()
-        say(f"decide, microseconds: {brief(found['decide'])}")
+        print_progress(f"decide, microseconds: {format_figures(found['decide'])}")
     if "late" in parts:
         policies = [OURS, "random", "round_robin", "least_reported"]
         found["late"] = await measure_late(policies, 10.0)
--- a/bench/outcomes_caller.py
+++ b/bench/outcomes_caller.py
@@ -1,4 +1,4 @@
-"""Callers who resend as the callers' page tells them to, and remember all they were told."""
+"""A caller that resends as the callers' documentation says, and records every outcome."""
 
 import asyncio
 import collections
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ChargeRecord:
-    """One charge: how it was sent, and what was told of it each time."""
+    """A charge: how it was sent, and the outcome, code and key of each attempt."""
 
     kind: str
-    told: list[str] = dataclasses.field(default_factory=list)
+    outcomes: list[str] = dataclasses.field(default_factory=list)
     codes: list[str] = dataclasses.field(default_factory=list)
     keys: list[str] = dataclasses.field(default_factory=list)
 
@@ -38,7 +38,7 @@
         self.live_entries = list(range(len(fleet.entries)))
 
     async def run_open_loop(self, per_second: float, calls: int) -> None:
-        """Sends so many calls, whatever becomes of the earlier ones."""
+        """Sends a number of calls at random times, without waiting for earlier answers."""
         running: set[asyncio.Task] = set()
         for number in range(calls):
             await asyncio.sleep(self._random.expovariate(per_second))
@@ -63,14 +63,14 @@
         return self.checker.generate(f"shop {self._random.randrange(500)}", TOKENS, kind < 0.95)
 
     async def charge(self, mark: str, kind: str) -> ChargeRecord:
-        """Makes a charge until its outcome is known or patience ends."""
+        """Sends a charge until its outcome is known or RESENDS attempts were made."""
         record = self.charges[mark] = ChargeRecord(kind)
         key = await self._issue() if kind == "keyed" else ""
         for attempt in range(RESENDS):
             if key:
                 record.keys.append(key)
             became, told = await self._send(mark, kind, key)
-            record.told.append(became)
+            record.outcomes.append(became)
             record.codes.append(told.get("code", ""))
             if became == "not_run" and kind == "keyed":
                 key = told.get("idempotency_key") or await self._issue()
@@ -101,30 +101,34 @@
             return "lost", {}
 
     def judge(self) -> dict[str, object]:
-        """Returns counts of what was told, judged by the endpoints' journals."""
+        """Compares the reported outcomes with the journals of the services; returns counts."""
         runs: collections.Counter = collections.Counter()
         for journal in self._fleet.folder.glob("*.journal"):
             runs.update(journal.read_text().split())
-        charges = {m: r for m, r in self.charges.items() if r.kind != "quote" and r.told}
+        charges = {m: r for m, r in self.charges.items() if r.kind != "quote" and r.outcomes}
         quotes = [m for m, r in self.charges.items() if r.kind == "quote"]
         false_not_run = [
-            mark for mark, record in charges.items() if record.told[-1] == "not_run" and runs[mark]
+            mark
+            for mark, record in charges.items()
+            if record.outcomes[-1] == "not_run" and runs[mark]
         ]
-        firsts = collections.Counter(record.told[0] for record in charges.values())
-        lasts = collections.Counter(record.told[-1] for record in charges.values())
+        firsts = collections.Counter(record.outcomes[0] for record in charges.values())
+        lasts = collections.Counter(record.outcomes[-1] for record in charges.values())
         counts = self.checker.counts
         return {
             "calls": len(self.charges) + counts["requests"],
             "charges": len(charges),
             "double_runs": [mark for mark in charges if runs[mark] > 1],
             "false_not_run": false_not_run,
-            "lost_runs": [m for m, r in charges.items() if r.told[-1] == "whole" and not runs[m]],
+            "lost_runs": [
+                m for m, r in charges.items() if r.outcomes[-1] == "whole" and not runs[m]
+            ],
             "wrong": firsts["wrong"] + lasts["wrong"] + counts["wrong"] + counts["mixed"],
             "partial": [p for p in self.checker.problems if p.startswith("lost")],
             "first_told": dict(firsts),
             "last_told": dict(lasts),
             "unknown_codes": collections.Counter(
-                record.codes[-1] for record in charges.values() if record.told[-1] == "unknown"
+                record.codes[-1] for record in charges.values() if record.outcomes[-1] == "unknown"
             ),
             "naive_quotes": len(quotes),
             "naive_double_runs": sum(runs[mark] > 1 for mark in quotes),
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -30,7 +30,7 @@
 
 
 class Soak:
-    """Plays one schedule against one fleet and judges what callers and endpoints saw."""
+    """Runs one schedule against a fleet; checks what callers and endpoints observed."""
 
     def __init__(self, cluster: Cluster, seed: int, rounds: int) -> None:
         self._cluster = cluster
@@ -43,12 +43,12 @@
         self._marker = 0
         self._highest: dict[int, int] = {}
         self._bad_activations: dict[int, int] = {}
-        self.going_back: list[str] = []
+        self.reverted_revisions: list[str] = []
         self.played: list[str] = []
         self.caller = Caller([], seed)
 
     async def start(self) -> None:
-        """Starts the fleet and waits until it answers."""
+        """Starts the fleet and waits until the first version is in force everywhere."""
         cluster = self._cluster
         await cluster.start_platform()
         started = [
@@ -62,17 +62,17 @@
         started += [cluster.start_entry(f"entry-{i + 1}", REGIONS[i]) for i in range(2)]
         members = await asyncio.gather(*started)
         sidecars = [member for member in members if member.role == "sidecar"]
-        await asyncio.gather(*(cluster.put_proxy_before(member) for member in sidecars))
+        await asyncio.gather(*(cluster.insert_proxy(member) for member in sidecars))
         await cluster.publish_instances()
         await self._publish_new_version()
         await cluster.wait_until(self._converged, CONVERGE_SECONDS, "the first version")
         await asyncio.sleep(2.0)
-        self._note_entry_ports()
+        self._update_entry_ports()
 
     async def play(self) -> None:
-        """Plays every kind of failure in a random order, each round anew, under load.
+        """Runs all actions under load, in a new random order in each round.
 
-        Then it waits until the fleet has converged.
+        Then waits until the fleet has converged.
         """
         ended = asyncio.Event()
         load = asyncio.ensure_future(
@@ -107,7 +107,7 @@
         ]
 
     def judge(self) -> dict[str, object]:
-        """Returns the figures, those that must be zero by the promises among them."""
+        """Returns the figures, including those that the guarantees require to be zero."""
         runs: collections.Counter = collections.Counter()
         for journal in self._cluster.folder.glob("*.journal"):
             runs.update(journal.read_text().split())
@@ -127,16 +127,17 @@
             "double_runs": sum(1 for count in runs.values() if count > 1),
             "false_not_run": sum(1 for m, what in charges.items() if what == "refused" and runs[m]),
             "false_done": sum(1 for m, what in charges.items() if what == "whole" and not runs[m]),
-            "reverted": len(self.going_back),
+            "reverted": len(self.reverted_revisions),
             "bad_activations": sum(self._bad_activations.values()),
             "codes": dict(self.caller.codes),
         }
 
     def _engine_options(self, name: str) -> tuple[str, ...]:
-        # Every other engine ignores old fencing numbers, so that both kinds are met.
+        # Odd-numbered engines refuse orders with an old fencing token and the others accept them,
+        # so that both kinds are covered.
         return ("--fencing",) if int(name[-1]) % 2 else ()
 
-    def _note_entry_ports(self) -> None:
+    def _update_entry_ports(self) -> None:
         members = self._cluster.members.values()
         self.caller.entry_ports[:] = [
             m.caller_port for m in members if m.role == "entry" and m.state == "live"
@@ -144,7 +145,7 @@
 
     def _base(self) -> dict[str, object]:
         base = make_base(self._roots, self._version, self._engines, self._services, VERSION_BYTES)
-        # The marker makes each revision differ, as a change of a limit would.
+        # The marker is a limit that changes, so that revisions differ.
         base["limits"] = {"largest_deadline_seconds": 600.0 + self._marker}
         return base
 
@@ -179,7 +180,7 @@
 
     async def _spoil_link(self) -> None:
         control_port = self._choose_sidecar().proxy_control_port
-        spoilt = self._random.choice(
+        link_faults = self._random.choice(
             (
                 {"stall": True},
                 {"refuse": True},
@@ -188,8 +189,8 @@
                 {"repeat_requests": True, "repeat_delay_seconds": 0.3},
             )
         )
-        self.played.append(f"link: {next(iter(spoilt))}")
-        await self._cluster.put_link_faults(control_port, **spoilt)
+        self.played.append(f"link: {next(iter(link_faults))}")
+        await self._cluster.put_link_faults(control_port, **link_faults)
         await asyncio.sleep(self._random.uniform(0.5, 2.0))
         await self._cluster.put_link_faults(control_port)
 
@@ -198,13 +199,13 @@
         names = [n for n, m in members.items() if m.role == "sidecar" and m.state == "live"]
         return members[self._random.choice(sorted(names))]
 
-    async def _start_again(self, gone: Member, with_endpoint: bool) -> None:
+    async def _restart_sidecar(self, gone: Member, with_endpoint: bool) -> None:
         endpoint = None if with_endpoint else (gone.endpoint, gone.endpoint_port)
         options = self._engine_options(gone.name) if gone.kind == "engine" else ()
         member = await self._cluster.start_sidecar(
             gone.name, gone.region, gone.kind, options=options, endpoint=endpoint
         )
-        await self._cluster.put_proxy_before(member)
+        await self._cluster.insert_proxy(member)
         await self._cluster.publish_instances()
 
     async def _kill_and_replace_sidecar(self) -> None:
@@ -214,7 +215,7 @@
         if with_endpoint:
             await member.endpoint.kill()
         await asyncio.sleep(self._random.uniform(0.1, 1.0))
-        await self._start_again(member, with_endpoint)
+        await self._restart_sidecar(member, with_endpoint)
 
     async def _stop_and_wake_sidecar(self) -> None:
         member = self._choose_sidecar()
@@ -227,22 +228,22 @@
     async def _replace_sidecar_gracefully(self) -> None:
         member = self._choose_sidecar()
         member.daemon.send(signal.SIGTERM)
-        # The list goes on saying that the instance is live, as a lagging list does.
+        # The instance list still shows the instance as live, as a list that lags behind would.
         await member.daemon.wait(LEAVING_LIST_LAG_SECONDS * 5)
-        await self._start_again(member, with_endpoint=False)
+        await self._restart_sidecar(member, with_endpoint=False)
 
     async def _replace_entry_gracefully(self) -> None:
         members = self._cluster.members
         name = self._random.choice(("entry-1", "entry-2"))
         old = members[name]
         old.state = "leaving"
-        self._note_entry_ports()
+        self._update_entry_ports()
         await asyncio.sleep(0.3)
         old.daemon.send(signal.SIGTERM)
         await self._cluster.start_entry(name, old.region)
         await self._cluster.publish_instances()
         await asyncio.sleep(2.0)
-        self._note_entry_ports()
+        self._update_entry_ports()
 
     async def _watch(self) -> None:
         while True:
@@ -251,19 +252,19 @@
                     continue
                 try:
                     async with asyncio.timeout(0.5):
-                        await self._look_at(member)
+                        await self._check_member(member)
                 except (OSError, TimeoutError):
                     continue
             await asyncio.sleep(0.2)
 
-    async def _look_at(self, member: Member) -> None:
+    async def _check_member(self, member: Member) -> None:
         if member.kind == "engine" and member.endpoint.alive:
             counters = await self._cluster.counters(member.endpoint_port)
             self._bad_activations[member.endpoint_port] = counters["bad_activations"]
         status = await self._cluster.get_json(member.http_port, "/internal/status")
         highest = self._highest.get(member.http_port, 0)
         if status["revision"] < highest:
-            self.going_back.append(f"{member.name}: {highest} to {status['revision']}")
+            self.reverted_revisions.append(f"{member.name}: {highest} to {status['revision']}")
         self._highest[member.http_port] = max(highest, status["revision"])
 
     async def _converged(self) -> bool:
@@ -284,7 +285,7 @@
 
 
 def broken_promises(figures: dict[str, object]) -> list[str]:
-    """Returns the names of the figures that break a promise."""
+    """Returns the names of the figures that violate a guarantee."""
     broken = [name for name in MUST_BE_ZERO if figures[name]]
     if figures["requests"] < SMALLEST_LOAD_TO_JUDGE or not figures["whole"]:
         broken.append("whole")
@@ -292,16 +293,16 @@
 
 
 async def play_soak(seed: int, rounds: int) -> tuple[dict[str, object], list[str]]:
-    """Plays one schedule; returns its figures and what an examiner needs to know of it."""
+    """Runs one schedule; returns its figures, and notes for the analysis of a failure."""
     async with Cluster() as cluster:
         soak = Soak(cluster, seed, rounds)
         await soak.start()
         await soak.play()
-        return soak.judge(), soak.played + soak.caller.problems[:20] + soak.going_back
+        return soak.judge(), soak.played + soak.caller.problems[:20] + soak.reverted_revisions
 
 
 def main() -> int:
-    """Plays one schedule and prints its figures; exit status 1 where a promise broke."""
+    """Runs one schedule and prints its figures; returns 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--rounds", type=int, default=4, help="each plays every failure once")
--- a/tests/outcomes_leaving_test.py
+++ b/tests/outcomes_leaving_test.py
@@ -32,7 +32,7 @@
         answers = [await task for task in work]
         others = [answer for answer in answers if answer[0] != "whole"]
         self.assertEqual(others, [])
-        self.assertEqual([self.fleet.runs(f"m{i}") for i in range(24)], [1] * 24)
+        self.assertEqual([self.fleet.count_runs(f"m{i}") for i in range(24)], [1] * 24)
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_a_key_issued_just_before_its_instance_leaves_is_good(self) -> None:
@@ -43,7 +43,7 @@
         leaving.send(signal.SIGTERM)
         await asyncio.sleep(0.3)
         became, told = await self.fleet.charge("kept", key=key)
-        self.assertEqual((became, self.fleet.runs("kept")), ("whole", 1), told)
+        self.assertEqual((became, self.fleet.count_runs("kept")), ("whole", 1), told)
         self.assertEqual(await leaving.wait(15.0), 0)
 
     async def test_engine_sidecar_leaves_under_long_streams(self) -> None:
@@ -54,7 +54,7 @@
         await self.fleet.start_all([], ["worker-1", "worker-2"], drain_seconds=60.0)
         caller = self.fleet.caller()
         long = asyncio.ensure_future(caller.generate("long", 1200))
-        running = await self.fleet.find_running(("worker-1", "worker-2"))
+        running = await self.fleet.wait_for_running_engine(("worker-1", "worker-2"))
         leaving = self.fleet.members[running].daemon
         leaving.send(signal.SIGTERM)
         short = [await caller.generate(f"short {i}", 3) for i in range(30)]
@@ -88,7 +88,9 @@
         self.assertEqual(await stream, "whole", caller.problems)
         self.assertEqual(await leaving.wait(15.0), 0)
         again, kept = await self.fleet.charge("kept", entry=1, key=key)
-        self.assertEqual((again, kept["replayed"], self.fleet.runs("kept")), ("whole", True, 1))
+        self.assertEqual(
+            (again, kept["replayed"], self.fleet.count_runs("kept")), ("whole", True, 1)
+        )
 
 
 if __name__ == "__main__":
