--- a/wasabidrum/decisions/idempotency_ledger_test.py
+++ b/wasabidrum/decisions/idempotency_ledger_test.py
@@ -147,7 +147,7 @@
         slot=strategies.sampled_from(("tally-1", "tally-2")),
         pick=strategies.integers(0, 99),
     )
-    def disrupt(self, what: str, slot: str, pick: int) -> None:
+    def upset(self, what: str, slot: str, pick: int) -> None:
         """Replaces an instance whose old process stays alive, crashes one, or starts its exit."""
         incarnation = sorted(self.ledgers)[pick % len(self.ledgers)]
         if what == "leave":
