--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -158,7 +158,7 @@
     async def wait_until_heard(
         self, model: str, service: str, deadline: float, tried: frozenset[str] = frozenset()
     ) -> bool:
-        """See EndpointTable; never waits, as no further report would arrive."""
+        """See EndpointTable; does not wait, as if engines without a report would never send one."""
         return False
 
     def record_status(self, status: Status) -> None:
