--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -43,7 +43,7 @@
     ("bytes_per_second", "B/s", BYTES_LIMIT),
 )
 # Numbers of kinds of endpoint: one, and three (a model and two services), as both firms
-# that use this have today.
+# have today.
 GROUPS = (1, 3)
 FAILURES_A_DAY = 21
 KEYED_SHARE = 0.2
--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -43,9 +43,9 @@
 
 
 async def decide(number: int) -> float:
-    """Returns the median microseconds to admit, place and end a request, by endpoint count."""
+    """Returns the median microseconds to admit, place and end a request over some endpoints."""
     log = EventLog(logbook.Logger("bench", level=logbook.CRITICAL), "bench")
-    traffic = RequestScheduler(StaticTable(number), log, None, "r", "r-1", random.Random(1))
+    scheduler = RequestScheduler(StaticTable(number), log, None, "r", "r-1", random.Random(1))
     deadline = asyncio.get_running_loop().time() + 1000.0
     prompt = "word " * 80
     spent = []
@@ -54,8 +54,8 @@
             f"r{index}", "w", Priority.GENERATE, deadline, True, "m", "", f"{prompt}{index}", 10
         )
         began = time.perf_counter()
-        permit = await traffic.admit(item)
-        placement = traffic.place(item)
+        permit = await scheduler.admit(item)
+        placement = scheduler.place(item)
         placement.record_tokens(10)
         placement.end("")
         permit.release()
--- a/bench/load_fleet.py
+++ b/bench/load_fleet.py
@@ -70,7 +70,7 @@
         await cluster.publish_instances()
 
     async def wait_until_serving(self) -> None:
-        """Waits until each entry has served one request, then two seconds for the load reports."""
+        """Waits until each entry has served a request, then two seconds for all engine reports."""
         for members in self.entries.values():
             for member in members:
                 callers = LoadCallers([member.caller_port], 1)
